--- a/lab/trials/ablation.py
+++ b/lab/trials/ablation.py
@@ -58,7 +58,7 @@
 
 
 def _hear_kept_only(self: Trial, report: TrialReport, now: float) -> None:
-    self.kept.hear(report.kept, now)
+    self.kept.receive(report.kept, now)
 
 
 def switched_off() -> dict[str, AbstractContextManager]:
--- a/walnutquay/coordination/trials/sessions.py
+++ b/walnutquay/coordination/trials/sessions.py
@@ -15,7 +15,7 @@
 from walnutquay.protocol.messages import Envelope, SessionsSeen, SessionsTaken
 from walnutquay.state.process.ids import ServiceName, VersionName
 from walnutquay.state.store.instances import Instance
-from walnutquay.state.trials.notes import SessionNote, SessionNotes
+from walnutquay.state.trials.sessionrecords import SessionRecord, SessionRecords
 from walnutquay.state.trials.trial import Trial
 from walnutquay.transport.timers import monotonic
 
@@ -50,15 +50,15 @@
         self.tasks = tasks
         self.peers = peers
         self.tell = tell
-        self.notes = SessionNotes(session_seconds + MARGIN_SECONDS)
+        self.notes = SessionRecords(session_seconds + MARGIN_SECONDS)
 
-    def note_of(self, turn: RoutedTurn, now: float) -> SessionNote | None:
+    def note_of(self, turn: RoutedTurn, now: float) -> SessionRecord | None:
         """:param turn: a request.
 
         :param now: monotonic seconds.
         :returns: what this VM has seen of its session, unless that is over.
         """
-        return self.notes.of(turn.service, turn.session, now)
+        return self.notes.find(turn.service, turn.session, now)
 
     def began(self, turn: RoutedTurn, grant: Grant) -> None:
         """:param turn: a request that is sent now.
@@ -134,7 +134,7 @@
         kept = {
             seen.service
             for seen in body.rows
-            if self.notes.take(seen, now)
+            if self.notes.apply(seen, now)
             and self._keep(seen.service, seen.session, seen.version, now)
         }
         for service in kept:
--- a/walnutquay/state/trials/notes.py
+++ b/walnutquay/state/trials/sessionrecords.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class SessionNote:
+class SessionRecord:
     """Where a session was served last.
 
     :param version: the version.
@@ -60,7 +60,7 @@
     age: float
 
 
-class SessionNotes:
+class SessionRecords:
     """The sessions that one VM has served.
 
     :param keep_seconds: a session is over so long after its last request.
@@ -68,11 +68,13 @@
 
     def __init__(self, keep_seconds: float) -> None:
         self.keep_seconds = keep_seconds
-        self.table: LatestTable[SessionKey, SessionNote] = LatestTable(
-            MAX_SESSIONS, SessionNote
+        self.table: LatestTable[SessionKey, SessionRecord] = LatestTable(
+            MAX_SESSIONS, SessionRecord
         )
 
-    def of(self, service: ServiceName, session: str, now: float) -> SessionNote | None:
+    def find(
+        self, service: ServiceName, session: str, now: float
+    ) -> SessionRecord | None:
         """:param service: a service.
 
         :param session: a session; empty for none.
@@ -113,7 +115,7 @@
         # A note that gave way to newer ones may have been made anew since.
         note.running = max(0, note.running - 1)
 
-    def take(self, seen: SeenSession, now: float) -> bool:
+    def apply(self, seen: SeenSession, now: float) -> bool:
         """Take over what another VM has seen, unless this one has seen more.
 
         :param seen: a session.
