--- a/lab/capacity/processortime.py
+++ b/lab/capacity/processortime.py
@@ -36,9 +36,9 @@
 from walnutquay.state.process.ids import EndpointName, ModelName, VmProcess
 from walnutquay.state.process.metrics import Metrics
 from walnutquay.state.routed.gains import GainCounts, GainRow, ModelPair
+from walnutquay.state.trials.baseline import BaselineTime
 from walnutquay.state.trials.counts import Measure, TrialCounts
 from walnutquay.state.trials.reports import TrialReport, Verdict
-from walnutquay.state.trials.usual import UsualTime
 from walnutquay.transport.lines import LineWriter
 from walnutquay.transport.timers import monotonic
 
@@ -146,7 +146,7 @@
         ((measure, ROUTE.name), TrialCounts(20 + number, number % 2))
         for measure in Measure
     )
-    usual = tuple(UsualTime(kind, 0.1, 50) for kind in range(6))
+    usual = tuple(BaselineTime(kind, 0.1, 50) for kind in range(6))
     return TrialReport(
         "o",
         NEW,
@@ -273,7 +273,7 @@
     for number in range(vms):
         if hall_of(number) == hall_of(0):
             process = VmProcess(f"{vm_name(number)}/1")
-            task.trial.hear(process, _report(number, KEPT), monotonic())
+            task.trial.receive(process, _report(number, KEPT), monotonic())
     task.write_at = math.inf
     for name, step in request_steps(vm):
         await show(f"{name}, on trial", step)
--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -99,7 +99,7 @@
     Mutation(
         "roll-outs: sessions that another VM keeps stay on the old version",
         "coordination/trials/versions.py",
-        "if turn.session and trial.keeps(turn.session, seen_on_new, now):",
+        "if turn.session and trial.must_stay_on_old(turn.session, seen_on_new, now):",
         "if False:",
         "tests.coordination.trials.test_session_versions.SessionOfAnotherVmTest",
     ),
@@ -268,7 +268,7 @@
     Mutation(
         "trials: VMs tell each other what is usual",
         "coordination/trials/news.py",
-        "self.usual.hear(service, vm, news.report.usual)",
+        "self.usual.receive(service, vm, news.report.usual)",
         "pass",
         "tests.coordination.trials.test_trialnews.UsualTest",
     ),
--- a/lab/trials/ablation.py
+++ b/lab/trials/ablation.py
@@ -58,7 +58,7 @@
 
 
 def _hear_kept_only(self: Trial, report: TrialReport, now: float) -> None:
-    self.kept.hear(report.kept, now)
+    self.kept.receive(report.kept, now)
 
 
 def switched_off() -> dict[str, AbstractContextManager]:
@@ -67,7 +67,7 @@
     told_once = mock.patch.object(trialtask, "DECIDED_TELLS", 1)
     at_once = mock.patch.object(versions, "SETTLE_SECONDS", 0.0)
     nobody_asked = mock.patch.object(TrialExchange, "catch_up", _ask_nobody)
-    kept_only = mock.patch.object(Trial, "hear_decided", _hear_kept_only)
+    kept_only = mock.patch.object(Trial, "receive_decisions", _hear_kept_only)
     return {
         "nothing": nullcontext(),
         "sessions that others keep": nothing_kept,
--- a/lab/trials/costs.py
+++ b/lab/trials/costs.py
@@ -27,7 +27,7 @@
     tracemalloc.start()
     for _ in range(kept):
         numbers = (rng.getrandbits(64),)
-        trial.hear(VmName("vm-1"), TrialReport("engine", NEW, (), numbers), 0.0)
+        trial.receive(VmName("vm-1"), TrialReport("engine", NEW, (), numbers), 0.0)
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return size
--- a/tests/coordination/trials/test_judging.py
+++ b/tests/coordination/trials/test_judging.py
@@ -24,10 +24,10 @@
 from walnutquay.state.requests.pace import MIN_SEEN
 from walnutquay.state.store.instances import Instance
 from walnutquay.state.store.orders import OrderState, RolloutOrder
+from walnutquay.state.trials.baseline import BaselineTime, BaselineTimes, kind_hash
 from walnutquay.state.trials.counts import Measure, TrialCounts
 from walnutquay.state.trials.evidence import Fault
 from walnutquay.state.trials.trial import Trial
-from walnutquay.state.trials.usual import UsualTime, UsualTimes, kind_number
 
 SERVICE = ServiceName("s")
 USUAL = 0.1
@@ -89,8 +89,8 @@
         self.assertEqual(self.counts(Measure.FAILED), (1, 0))
 
     def test_what_others_tell_is_enough(self):
-        row = UsualTime(kind_number(KIND), USUAL, MIN_SEEN)
-        self.judge.usual.hear(SERVICE, VmName("vm-2"), (row,))
+        row = BaselineTime(kind_hash(KIND), USUAL, MIN_SEEN)
+        self.judge.usual.receive(SERVICE, VmName("vm-2"), (row,))
         self.judge.sent(turn(), self.new)
         self.judge.begun(turn(), self.new, 5.0)
         self.assertEqual(self.counts(Measure.SLUGGISH), (0, 1))
@@ -166,29 +166,29 @@
 class UsualTimesTest(unittest.TestCase):
     """What is usual is put together from what VMs have seen."""
 
-    def row(self, seconds: float, seen: int) -> UsualTime:
+    def row(self, seconds: float, seen: int) -> BaselineTime:
         """:returns: what another VM has seen."""
-        return UsualTime(kind_number(KIND), seconds, seen)
+        return BaselineTime(kind_hash(KIND), seconds, seen)
 
     def test_few_answers_each_are_enough_together(self):
-        usual = UsualTimes()
+        usual = BaselineTimes()
         usual.learn(SERVICE, KIND, 0.1)
         self.assertIsNone(usual.ratio(SERVICE, KIND, 1.0))
-        usual.hear(SERVICE, VmName("vm-2"), (self.row(0.1, 2),))
-        usual.hear_hall(SERVICE, HallName("h"), (self.row(0.3, 3),))
+        usual.receive(SERVICE, VmName("vm-2"), (self.row(0.1, 2),))
+        usual.receive_from_hall(SERVICE, HallName("h"), (self.row(0.3, 3),))
         self.assertAlmostEqual(usual.ratio(SERVICE, KIND, 0.4), 2.0)
 
     def test_a_hall_tells_what_its_vms_have_seen(self):
-        usual = UsualTimes()
+        usual = BaselineTimes()
         usual.learn(SERVICE, KIND, 0.1)
-        usual.hear(SERVICE, VmName("vm-2"), (self.row(0.2, 1),))
-        usual.hear_hall(SERVICE, HallName("h"), (self.row(9.0, 9),))
+        usual.receive(SERVICE, VmName("vm-2"), (self.row(0.2, 1),))
+        usual.receive_from_hall(SERVICE, HallName("h"), (self.row(9.0, 9),))
         (row,) = usual.rows_of_hall(SERVICE)
         self.assertEqual((round(row.seconds, 6), row.seen), (0.15, 2))
         self.assertEqual(usual.all_rows(SERVICE)[0].seen, 11)
 
     def test_what_one_tells_stands_for_what_it_told_before(self):
-        usual = UsualTimes()
+        usual = BaselineTimes()
         for seconds in (0.1, 0.4):
-            usual.hear(SERVICE, VmName("vm-2"), (self.row(seconds, 5),))
+            usual.receive(SERVICE, VmName("vm-2"), (self.row(seconds, 5),))
         self.assertAlmostEqual(usual.ratio(SERVICE, KIND, 0.4), 1.0)
--- a/tests/coordination/trials/test_session_versions.py
+++ b/tests/coordination/trials/test_session_versions.py
@@ -29,7 +29,7 @@
 from standins.worker import Behaviour
 from tests.gatewaycase import POLL_SECONDS, WAIT_SECONDS, GatewayCase
 from walnutquay.daemon.gateway import GatewayDaemon
-from walnutquay.state.trials.numbers import falls_to_new
+from walnutquay.state.trials.hashing import is_assigned_to_new
 
 # The trial lasts so long that none of its parts ends during a test; seconds.
 TRIAL_SECONDS = 600.0
@@ -48,7 +48,9 @@
     """Yield names of sessions that fall between two shares."""
     for number in itertools.count():
         name = f"session-{number}"
-        if falls_to_new(name, "v2", most) and not falls_to_new(name, "v2", least):
+        if is_assigned_to_new(name, "v2", most) and not is_assigned_to_new(
+            name, "v2", least
+        ):
             yield name
 
 
--- a/tests/coordination/trials/test_trialnews.py
+++ b/tests/coordination/trials/test_trialnews.py
@@ -32,10 +32,10 @@
 from walnutquay.state.process.metrics import Metrics
 from walnutquay.state.requests.pace import MIN_SEEN
 from walnutquay.state.store.orders import OrderState, RolloutOrder
+from walnutquay.state.trials.baseline import BaselineTime, BaselineTimes, kind_hash
 from walnutquay.state.trials.counts import Measure, TrialCounts
 from walnutquay.state.trials.reports import TrialReport, Verdict
 from walnutquay.state.trials.trial import Trial
-from walnutquay.state.trials.usual import UsualTime, UsualTimes, kind_number
 
 SERVICE = ServiceName("s")
 V2 = VersionName("v2")
@@ -80,11 +80,11 @@
         self.events = context.timeline.ring
         self.peers = FakePeers()
         self.unknown: list[TrialReport] = []
-        trial = Trial(ORDER, 0.0, 0.15, witnessed=True)
+        trial = Trial(ORDER, 0.0, 0.15, start_observed=True)
         trial.opens_at = 1.0
         self.task = TrialTask(trial, 0.0)
         self.tasks = {SERVICE: self.task}
-        self.usual = UsualTimes()
+        self.usual = BaselineTimes()
         self.exchange = TrialExchange(
             context, self.peers, self.tasks, self.usual, self.unknown.append
         )
@@ -138,7 +138,7 @@
         for incarnation, good in (("first", 2), ("first", 3), ("second", 1)):
             counts = ((SUBJECT, TrialCounts(good)),)
             self.hear(TrialReport("order", V2, counts), incarnation)
-        total = self.task.trial.tally().total(Measure.FAILED)
+        total = self.task.trial.outcome_counts().total(Measure.FAILED)
         self.assertEqual(total.good, 4)
 
     def test_an_order_that_is_not_known(self):
@@ -147,12 +147,14 @@
 
     def test_a_bad_version(self):
         self.hear(TrialReport("order", V2, (), verdict=Verdict.BAD))
-        self.assertTrue(self.task.trial.braked)
+        self.assertTrue(self.task.trial.rejected)
         # The VM that found it writes it first.
         self.assertGreater(self.task.write_at, self.now)
         self.assertFalse(self.task.found_bad)
-        braked = [event for event in self.events.events if event.kind.value == "braked"]
-        self.assertEqual([dict(e.facts)["told_by"] for e in braked], ["vm-2"])
+        rejected = [
+            event for event in self.events.events if event.kind.value == "braked"
+        ]
+        self.assertEqual([dict(e.facts)["told_by"] for e in rejected], ["vm-2"])
 
 
 class AskingTest(ExchangeCase):
@@ -263,12 +265,12 @@
     KIND = "head/r/0"
 
     def test_what_another_vm_tells(self):
-        row = UsualTime(kind_number(self.KIND), 0.1, MIN_SEEN)
+        row = BaselineTime(kind_hash(self.KIND), 0.1, MIN_SEEN)
         self.hear(TrialReport("order", V2, (), usual=(row,)))
         self.assertAlmostEqual(self.usual.ratio(SERVICE, self.KIND, 0.3), 3.0)
 
     def test_one_that_starts_is_told_all(self):
-        row = UsualTime(kind_number(self.KIND), 0.1, MIN_SEEN)
+        row = BaselineTime(kind_hash(self.KIND), 0.1, MIN_SEEN)
         self.hear(TrialReport("order", V2, (), usual=(row,)))
         question = AskTrial(ORDER.name, V2)
         answer = self.exchange.answer(Envelope("vm-3", "inc", Stamp(1, 0), question))
@@ -289,7 +291,7 @@
 
     def bad(self) -> int:
         """:returns: all bad answers that are known here."""
-        return self.task.trial.tally().total(Measure.FAILED).bad
+        return self.task.trial.outcome_counts().total(Measure.FAILED).bad
 
     def take(self, vm: str, news: TrialNews) -> None:
         """Hear from a VM."""
--- a/tests/coordination/trials/test_trialrecord.py
+++ b/tests/coordination/trials/test_trialrecord.py
@@ -26,10 +26,10 @@
     VmName,
 )
 from walnutquay.state.store.orders import OrderState, RolloutOrder
+from walnutquay.state.trials.baseline import BaselineTimes
 from walnutquay.state.trials.counts import Measure
 from walnutquay.state.trials.reports import TrialReport, Verdict
 from walnutquay.state.trials.trial import RAMP_START, Trial
-from walnutquay.state.trials.usual import UsualTimes
 
 SERVICE = ServiceName("s")
 SECONDS = 20.0
@@ -82,10 +82,10 @@
         self.keeps = True
         self.trial = Trial(ORDER, 95.0, 0.15)
         self.task = TrialTask(self.trial, 0.0)
-        self.usual = UsualTimes()
+        self.usual = BaselineTimes()
         self.record = self.new_record(self.usual)
 
-    def new_record(self, usual: UsualTimes) -> TrialRecord:
+    def new_record(self, usual: BaselineTimes) -> TrialRecord:
         """:returns: the record as a VM knows it."""
         keepers = SimpleNamespace(is_keeper=lambda key: self.keeps)
         return TrialRecord(keepers, self.values, usual, yes)
@@ -145,7 +145,7 @@
     async def recovered(self) -> Trial:
         """:returns: the trial as a VM knows it that starts when all were lost."""
         found = Trial(ORDER, 95.0, 0.15)
-        await self.new_record(UsualTimes()).recover(found)
+        await self.new_record(BaselineTimes()).recover(found)
         return found
 
     async def test_what_was_seen_counts_with_what_is_seen(self):
@@ -158,10 +158,10 @@
         self.assertIs(found.verdict(), Verdict.BAD)
 
     async def test_what_was_decided_holds(self):
-        self.trial.braked = True
+        self.trial.rejected = True
         self.see(1)
         await self.keep()
-        self.assertTrue((await self.recovered()).braked)
+        self.assertTrue((await self.recovered()).rejected)
 
     async def test_a_version_that_was_trusted_keeps_its_sessions(self):
         self.now = 95.0 + SECONDS * RAMP_START + 0.1
@@ -175,7 +175,7 @@
             self.usual.learn(SERVICE, KIND, 0.1)
         self.see(1)
         await self.keep()
-        usual = UsualTimes()
+        usual = BaselineTimes()
         await self.new_record(usual).recover(Trial(ORDER, 95.0, 0.15))
         self.assertAlmostEqual(usual.ratio(SERVICE, KIND, 0.3), 3.0)
 
@@ -198,8 +198,8 @@
             with self.subTest(data=data):
                 self.values.stored["trials/o"] = Stored(1, data)
                 found = await self.recovered()
-                self.assertFalse(found.braked)
-                self.assertEqual(found.told, {})
+                self.assertFalse(found.rejected)
+                self.assertEqual(found.received, {})
 
     async def test_a_store_that_is_away(self):
         self.values.away = True
--- a/tests/coordination/trials/test_versions.py
+++ b/tests/coordination/trials/test_versions.py
@@ -24,7 +24,7 @@
 from walnutquay.state.store.orders import OrderState, RolloutOrder
 from walnutquay.state.trials.choice import ChoiceReason
 from walnutquay.state.trials.counts import Measure
-from walnutquay.state.trials.numbers import falls_to_new, session_number
+from walnutquay.state.trials.hashing import is_assigned_to_new, session_hash
 from walnutquay.state.trials.trial import Trial
 from walnutquay.transport.timers import monotonic
 
@@ -140,7 +140,9 @@
         """:returns: a session that falls to the new version at first, or not."""
         share = self.trial.share(monotonic())
         names = (f"session-{number}" for number in range(1000))
-        return next(name for name in names if falls_to_new(name, "v2", share) is new)
+        return next(
+            name for name in names if is_assigned_to_new(name, "v2", share) is new
+        )
 
     def choose(self, **more: object) -> tuple[str, ChoiceReason]:
         """:returns: the version and the reason for a request."""
@@ -189,14 +191,14 @@
 
     def test_kept_by_another_vm(self):
         name = self.session(new=True)
-        self.trial.kept.hear([session_number(name, "v2")], monotonic())
+        self.trial.kept.receive([session_hash(name, "v2")], monotonic())
         self.assertEqual(self.choose(session=name), ("", ChoiceReason.KEPT))
 
     def test_failed_there(self):
         self.assertEqual(self.choose(avoid_new=True), ("", ChoiceReason.FAILED_THERE))
 
     def test_braked(self):
-        self.trial.braked = True
+        self.trial.rejected = True
         self.assertEqual(self.choose(), ("", ChoiceReason.BRAKED))
 
     def test_none_runs(self):
--- a/tests/daemon/test_gateway.py
+++ b/tests/daemon/test_gateway.py
@@ -185,10 +185,10 @@
         await self.until(lambda: "engine" in trials and self.listed("n1", "n2"))
         trial = trials["engine"].trial
         number = 0
-        while not trial.braked and number < 200:
+        while not trial.rejected and number < 200:
             number += 1
             await self.call("/stream/x", b"b", Model="tiny", Session=f"s{number}")
-        self.assertTrue(trial.braked)
+        self.assertTrue(trial.rejected)
         await self.until(
             lambda: (self.rollout().status or {}).get("state") == "rolled_back"
         )
--- a/tests/state/trials/test_keptsessions.py
+++ b/tests/state/trials/test_keptsessions.py
@@ -22,8 +22,8 @@
 
     def test_what_others_keep_need_not_be_told(self):
         found = KeptSessions()
-        self.assertEqual(found.hear([5, 6], 1.0), 2)
-        self.assertEqual(found.hear([5, 7], 2.0), 1)
+        self.assertEqual(found.receive([5, 6], 1.0), 2)
+        self.assertEqual(found.receive([5, 7], 2.0), 1)
         self.assertFalse(found.keep(5, 3.0))
         self.assertEqual((found.since(5), found.since(8)), (1.0, None))
         self.assertEqual(found.all(), (5, 6, 7))
@@ -35,6 +35,6 @@
             mock.patch.object(kept_sessions, "MAX_HEARD", 3),
         ):
             kept = [found.keep(number, 0.0) for number in range(4)]
-            found.hear(range(10, 20), 0.0)
+            found.receive(range(10, 20), 0.0)
         self.assertEqual(kept, [True, True, False, False])
-        self.assertEqual(len(found.heard), 3)
+        self.assertEqual(len(found.received), 3)
--- a/tests/state/trials/test_sessionnotes.py
+++ b/tests/state/trials/test_sessionnotes.py
@@ -23,7 +23,7 @@
 
     def version(self, now: float, service: ServiceName = S) -> str | None:
         """:returns: the version that is noted of the session, unless it is over."""
-        note = self.notes.of(service, "a", now)
+        note = self.notes.find(service, "a", now)
         return None if note is None else note.version
 
     def test_a_long_stream_keeps_its_session(self):
@@ -46,7 +46,7 @@
         self.assertIsNone(self.version(1.0, ServiceName("other")))
 
     def test_no_session(self):
-        self.assertIsNone(self.notes.of(S, "", 0.0))
+        self.assertIsNone(self.notes.find(S, "", 0.0))
 
     def test_an_end_without_a_beginning_changes_nothing(self):
         self.notes.ended(S, "a", 1.0)
@@ -64,12 +64,12 @@
         ):
             with self.subTest(version=version, age=age):
                 seen = SeenSession(S, "a", version, age)
-                self.assertIs(self.notes.take(seen, now), taken)
+                self.assertIs(self.notes.apply(seen, now), taken)
                 self.assertEqual(self.version(now), expected)
 
     def test_what_is_under_way_here_counts_more(self):
         self.notes.began(S, "a", V1, 0.0)
-        self.assertFalse(self.notes.take(SeenSession(S, "a", V2, 0.0), 5.0))
+        self.assertFalse(self.notes.apply(SeenSession(S, "a", V2, 0.0), 5.0))
         self.assertEqual(self.version(5.0), V1)
 
     def test_recent_ones(self):
--- a/tests/state/trials/test_trials.py
+++ b/tests/state/trials/test_trials.py
@@ -16,7 +16,7 @@
 )
 from walnutquay.state.store.orders import OrderState, RolloutOrder
 from walnutquay.state.trials.counts import Measure, TrialCounts, TrialTally
-from walnutquay.state.trials.numbers import falls_to_new, session_number
+from walnutquay.state.trials.hashing import is_assigned_to_new, session_hash
 from walnutquay.state.trials.reports import TrialReport, Verdict
 from walnutquay.state.trials.trial import RAMP_END, RAMP_START, Trial
 
@@ -37,7 +37,7 @@
     """:returns: one of the sessions that get the new version at first."""
     share = trial().first_share
     names = (f"session-{n}" for n in itertools.count())
-    found = (name for name in names if falls_to_new(name, "v2", share))
+    found = (name for name in names if is_assigned_to_new(name, "v2", share))
     return next(itertools.islice(found, number, None))
 
 
@@ -45,7 +45,7 @@
     """:returns: a session that does not get the new version at first."""
     share = trial().first_share
     names = (f"session-{n}" for n in itertools.count())
-    return next(name for name in names if not falls_to_new(name, "v2", share))
+    return next(name for name in names if not is_assigned_to_new(name, "v2", share))
 
 
 def answers(good: int, bad: int, *endpoints: str, route: str = "r") -> TrialTally:
@@ -80,13 +80,13 @@
     def test_good(self):
         found = trial()
         found.own = answers(4, 0)
-        found.told["vm-2"] = answers(4, 0)
+        found.received["vm-2"] = answers(4, 0)
         self.assertIs(found.verdict(), Verdict.GOOD)
 
     def test_bad_over_several_vms(self):
         found = trial()
         found.own = answers(2, 1, "a")
-        found.told = {"vm-2": answers(3, 1, "b"), "vm-3": answers(2, 1, "b")}
+        found.received = {"vm-2": answers(3, 1, "b"), "vm-3": answers(2, 1, "b")}
         self.assertIs(found.verdict(), Verdict.BAD)
 
     def test_bad_on_one_route_only(self):
@@ -173,7 +173,7 @@
         found.trusted = True
         found.old = sluggish_answers(47, 0)
         for bad, seen in ((4, 29), (14, 49)):
-            found.told[VmName("vm-2")] = sluggish_answers(seen - bad, bad)
+            found.received[VmName("vm-2")] = sluggish_answers(seen - bad, bad)
             found.all_seen = None
             found.advance(60.0)
         self.assertIs(found.verdict(), Verdict.BAD)
@@ -185,7 +185,7 @@
         found.trusted = True
         found.old = sluggish_answers(472, 76)
         for bad, seen in ((11, 133), (13, 155), (13, 162), (20, 172), (33, 194)):
-            found.told[VmName("vm-2")] = sluggish_answers(seen - bad, bad)
+            found.received[VmName("vm-2")] = sluggish_answers(seen - bad, bad)
             found.all_seen = None
             found.advance(60.0)
         self.assertIs(found.verdict(), Verdict.GOOD)
@@ -198,7 +198,7 @@
         found.trusted = True
         found.old = sluggish_answers(472, 76)
         for bad, seen in ((10, 110), (38, 188)):
-            found.told[VmName("vm-2")] = sluggish_answers(seen - bad, bad)
+            found.received[VmName("vm-2")] = sluggish_answers(seen - bad, bad)
             found.all_seen = None
             found.advance(RAMP_END * SECONDS)
         self.assertIs(found.verdict(), Verdict.GOOD)
@@ -211,7 +211,7 @@
         found.old = sluggish_answers(37, 2)
         self.assertIs(found.verdict(), Verdict.BAD)
         old = (((Measure.SLUGGISH, RouteName("")), TrialCounts(158, 45)),)
-        found.hear("vm-2", TrialReport("s", VersionName("v2"), (), old=old), 0.0)
+        found.receive("vm-2", TrialReport("s", VersionName("v2"), (), old=old), 0.0)
         self.assertIs(found.verdict(), Verdict.UNSURE)
 
     def test_no_worse_than_the_old_one(self):
@@ -222,7 +222,7 @@
 
     def test_a_brake_is_final(self):
         found = trial()
-        found.braked = True
+        found.rejected = True
         found.own = answers(100, 0)
         self.assertIs(found.verdict(), Verdict.BAD)
         self.assertEqual(found.share(SECONDS), 0.0)
@@ -256,7 +256,7 @@
         sessions = [f"session-{number}" for number in range(500)]
         before: set[str] = set()
         for share in (0.0, 0.1, 0.3, 0.6, 1.0):
-            new = {s for s in sessions if falls_to_new(s, "v2", share)}
+            new = {s for s in sessions if is_assigned_to_new(s, "v2", share)}
             self.assertLessEqual(before, new)
             before = new
         self.assertEqual(before, set(sessions))
@@ -275,30 +275,30 @@
     def test_kept_sessions_stay_in_the_first_half(self):
         found = trial()
         name = new_session()
-        found.hear("vm-2", self.report(kept=(session_number(name, "v2"),)), 1.0)
-        self.assertTrue(found.keeps(name, NEVER, 2.0))
-        self.assertFalse(found.keeps(new_session(1), NEVER, 2.0))
-        self.assertFalse(found.keeps(name, NEVER, RAMP_START * SECONDS))
+        found.receive("vm-2", self.report(kept=(session_hash(name, "v2"),)), 1.0)
+        self.assertTrue(found.must_stay_on_old(name, NEVER, 2.0))
+        self.assertFalse(found.must_stay_on_old(new_session(1), NEVER, 2.0))
+        self.assertFalse(found.must_stay_on_old(name, NEVER, RAMP_START * SECONDS))
 
     def test_a_later_request_on_the_new_version_counts(self):
         found = trial()
         name = new_session()
-        found.hear("vm-2", self.report(kept=(session_number(name, "v2"),)), 1.0)
-        self.assertFalse(found.keeps(name, 1.5, 2.0))
-        self.assertTrue(found.keeps(name, 0.5, 2.0))
+        found.receive("vm-2", self.report(kept=(session_hash(name, "v2"),)), 1.0)
+        self.assertFalse(found.must_stay_on_old(name, 1.5, 2.0))
+        self.assertTrue(found.must_stay_on_old(name, 0.5, 2.0))
 
     def test_only_sessions_that_fall_to_the_new_version_are_kept(self):
         found = trial()
         self.assertFalse(found.keep(old_session(), 1.0))
         self.assertTrue(found.keep(new_session(), 1.0))
         self.assertFalse(found.keep(new_session(1), RAMP_START * SECONDS))
-        found.braked = True
+        found.rejected = True
         self.assertFalse(found.keep(new_session(2), 1.0))
 
     def test_bad(self):
         found = trial()
-        found.hear("vm-2", self.report(verdict=Verdict.BAD), 1.0)
-        self.assertTrue(found.braked)
+        found.receive("vm-2", self.report(verdict=Verdict.BAD), 1.0)
+        self.assertTrue(found.rejected)
 
     def test_good(self):
         # A VM that doubted the version did not follow once: sessions went back there to
@@ -316,13 +316,13 @@
                 found = trial()
                 found.own = own
                 report = self.report(verdict=Verdict.GOOD)
-                found.hear("vm-2", report, at * SECONDS)
+                found.receive("vm-2", report, at * SECONDS)
                 self.assertIs(found.trusted, trusted)
                 bad = own.total(Measure.FAILED).bad
                 self.assertEqual(found.own.total(Measure.FAILED).bad, bad)
 
     def test_the_beginning(self):
-        for witnessed, elapsed, started in (
+        for start_observed, elapsed, started in (
             # By the time of day it began at 0; another VM knows better.
             (False, 30.0, 20.0),
             (False, None, 0.0),
@@ -330,10 +330,10 @@
             (True, 60.0, -10.0),
             (True, 30.0, 0.0),
         ):
-            with self.subTest(witnessed=witnessed, elapsed=elapsed):
+            with self.subTest(start_observed=start_observed, elapsed=elapsed):
                 found = trial()
-                found.witnessed = witnessed
-                found.hear("vm-2", self.report(elapsed=elapsed), 50.0)
+                found.start_observed = start_observed
+                found.receive("vm-2", self.report(elapsed=elapsed), 50.0)
                 self.assertEqual(found.started, started)
 
     def test_joining(self):
@@ -347,16 +347,16 @@
     def test_what_is_told(self):
         found = trial()
         found.kept.keep(1, 0.0)
-        found.kept.hear([2], 0.0)
+        found.kept.receive([2], 0.0)
         told = found.report(5.0)
         self.assertEqual((told.kept, told.verdict), ((1,), Verdict.UNSURE))
         self.assertIsNone(told.elapsed)
         self.assertGreater(told.opens_in, 0.0)
-        found.witnessed = found.open = found.trusted = True
+        found.start_observed = found.open = found.trusted = True
         told = found.report(5.0, whole=True)
         self.assertEqual((told.kept, told.verdict), ((1, 2), Verdict.GOOD))
         self.assertEqual((told.elapsed, told.opens_in), (5.0, 0.0))
-        found.braked = True
+        found.rejected = True
         self.assertIs(found.report(5.0).verdict, Verdict.BAD)
 
     def test_a_verdict_is_told_as_soon_as_sessions_are_moved_by_it(self):
--- a/tests/transport/test_peers.py
+++ b/tests/transport/test_peers.py
@@ -42,10 +42,10 @@
 from walnutquay.state.process.metrics import Metrics  # noqa: E402
 from walnutquay.state.requests.ends import CrashTarget, CrashTrace  # noqa: E402
 from walnutquay.state.routed.gains import GainCounts, GainRow, ModelPair  # noqa: E402
+from walnutquay.state.trials.baseline import BaselineTime  # noqa: E402
 from walnutquay.state.trials.counts import Measure, TrialCounts  # noqa: E402
 from walnutquay.state.trials.notes import SeenSession  # noqa: E402
 from walnutquay.state.trials.reports import TrialReport, Verdict  # noqa: E402
-from walnutquay.state.trials.usual import UsualTime  # noqa: E402
 from walnutquay.transport.peers import PeerNode  # noqa: E402
 
 KEY = b"a-key-of-the-whole-fleet"
@@ -79,7 +79,7 @@
             Verdict.GOOD,
             elapsed,
             0.5,
-            (UsualTime(7, 0.25, 9),),
+            (BaselineTime(7, 0.25, 9),),
             12,
             ((subject, TrialCounts(5, 1)),),
         )
@@ -93,7 +93,7 @@
         self.assertEqual((report.order, report.version), ("order", "v2"))
         self.assertEqual((report.kept, report.verdict), (KEPT, Verdict.GOOD))
         self.assertEqual((report.elapsed, report.opens_in), (1.5, 0.5))
-        self.assertEqual(report.usual, (UsualTime(7, 0.25, 9),))
+        self.assertEqual(report.usual, (BaselineTime(7, 0.25, 9),))
         self.assertEqual(report.seen, 12)
         old = ((Measure.FAILED, "r"), TrialCounts(5, 1))
         self.assertEqual(report.old, (old,))
--- a/walnutquay/coordination/trials/judging.py
+++ b/walnutquay/coordination/trials/judging.py
@@ -12,9 +12,9 @@
 from walnutquay.state.process.counts import LatestTable
 from walnutquay.state.process.ids import EndpointName, RequestId, ServiceName
 from walnutquay.state.store.instances import Instance
+from walnutquay.state.trials.baseline import BaselineTimes
 from walnutquay.state.trials.counts import Measure
 from walnutquay.state.trials.trial import Trial
-from walnutquay.state.trials.usual import UsualTimes
 from walnutquay.transport.timers import monotonic
 
 # An answer that takes so many times as long as the old version's is a bad one.
@@ -64,7 +64,7 @@
     ) -> None:
         self.trial_of = trial_of
         self.on_bad = on_bad
-        self.usual = UsualTimes()
+        self.usual = BaselineTimes()
         # What endpoints have now, of services whose version is on trial.
         self.calls: dict[RequestId, Call] = {}
         # When each endpoint last began an answer; monotonic seconds.
--- a/walnutquay/coordination/trials/news.py
+++ b/walnutquay/coordination/trials/news.py
@@ -28,10 +28,10 @@
 )
 from walnutquay.state.process.events import EventKind
 from walnutquay.state.process.ids import HallName, ServiceName, VmName, VmProcess
+from walnutquay.state.trials.baseline import BaselineTimes
 from walnutquay.state.trials.counts import Measure
 from walnutquay.state.trials.reports import TrialReport
 from walnutquay.state.trials.trial import Trial
-from walnutquay.state.trials.usual import UsualTimes
 from walnutquay.transport.timers import monotonic
 
 # How often VMs tell each other what they have seen.
@@ -102,7 +102,7 @@
         context: Context,
         peers: Peers,
         tasks: Mapping[ServiceName, TrialTask],
-        usual: UsualTimes,
+        usual: BaselineTimes,
         on_unknown: Callable[[TrialReport], None],
     ) -> None:
         self.context = context
@@ -189,7 +189,7 @@
             detail=detail,
             share=round(trial.share(now), SHARE_DIGITS),
             kept=len(trial.kept.own),
-            kept_heard=len(trial.kept.heard),
+            kept_heard=len(trial.kept.received),
             opens_ms=whole_ms(trial.opens_in(now)),
             trial_ms=whole_ms(now - trial.started),
             **counts,
@@ -210,9 +210,9 @@
 
     def _take(self, task: TrialTask, envelope: Envelope, news: TrialNews) -> None:
         trial = task.trial
-        braked = trial.braked
+        rejected = trial.rejected
         self._take_counts(trial, envelope, news)
-        if trial.braked and not braked:
+        if trial.rejected and not rejected:
             # The VM that found it writes it; the others do where it cannot.
             spread = FIRST_WRITE_SPREAD * (1.0 + self.context.rng.random())
             task.write_at = monotonic() + spread
@@ -232,18 +232,18 @@
         sender = self.peers.hall_of(vm)
         service = trial.order.service
         if news.hall and news.hall != here:
-            self.usual.hear_hall(service, news.hall, news.report.usual)
-            told = trial.hear_hall(news.hall, news.report, now)
+            self.usual.receive_from_hall(service, news.hall, news.report.usual)
+            told = trial.receive_from_hall(news.hall, news.report, now)
             # Two relays of that hall tell the same to two of this one.
             if told and sender != here:
                 self.peers.tell_hall(here, news)
         elif self._by_halls() and sender != here:
             # What this VM has seen comes with the counts of its hall.
-            trial.hear_decided(news.report, now)
+            trial.receive_decisions(news.report, now)
         else:
-            self.usual.hear(service, vm, news.report.usual)
+            self.usual.receive(service, vm, news.report.usual)
             process = VmProcess(f"{vm}/{envelope.incarnation}")
-            trial.hear(process, news.report, now)
+            trial.receive(process, news.report, now)
 
     def _task_of(self, report: TrialReport) -> TrialTask | None:
         for task in self.tasks.values():
@@ -320,7 +320,7 @@
     """
     found = {}
     for measure in Measure:
-        new = trial.tally().total(measure)
+        new = trial.outcome_counts().total(measure)
         old = trial.old_total(measure)
         found[f"{measure.value}"] = new.bad
         found[f"{measure.value}_of"] = new.bad + new.good
--- a/walnutquay/coordination/trials/record.py
+++ b/walnutquay/coordination/trials/record.py
@@ -19,10 +19,10 @@
 from walnutquay.exceptions import PlatformConflictError, PlatformError
 from walnutquay.platform.values import Stored
 from walnutquay.state.process.ids import EndpointName, RouteName
+from walnutquay.state.trials.baseline import BaselineTime, BaselineTimes
 from walnutquay.state.trials.counts import Measure, TrialCounts
 from walnutquay.state.trials.reports import TrialReport, Verdict
 from walnutquay.state.trials.trial import Trial
-from walnutquay.state.trials.usual import UsualTime, UsualTimes
 from walnutquay.transport.timers import monotonic
 
 log = logbook.Logger(__name__)
@@ -108,7 +108,7 @@
         self,
         keepers: Keepers,
         values: Values,
-        usual: UsualTimes,
+        usual: BaselineTimes,
         reads: Callable[[], Awaitable[bool]],
     ) -> None:
         self.keepers = keepers
@@ -191,7 +191,7 @@
     return f"trials/{order}"
 
 
-def encode(report: TrialReport, usual: tuple[UsualTime, ...]) -> bytes:
+def encode(report: TrialReport, usual: tuple[BaselineTime, ...]) -> bytes:
     """:param report: where a trial stands.
 
     :param usual: how long answers of the old version take.
@@ -234,7 +234,7 @@
         for row in stored.counts
     )
     usual = tuple(
-        UsualTime(int(row.kind), row.seconds, row.seen) for row in stored.usual
+        BaselineTime(int(row.kind), row.seconds, row.seen) for row in stored.usual
     )
     return TrialReport(
         trial.order.name,
--- a/walnutquay/coordination/trials/sessions.py
+++ b/walnutquay/coordination/trials/sessions.py
@@ -58,7 +58,7 @@
         :param now: monotonic seconds.
         :returns: what this VM has seen of its session, unless that is over.
         """
-        return self.notes.of(turn.service, turn.session, now)
+        return self.notes.find(turn.service, turn.session, now)
 
     def began(self, turn: RoutedTurn, grant: Grant) -> None:
         """:param turn: a request that is sent now.
@@ -134,7 +134,7 @@
         kept = {
             seen.service
             for seen in body.rows
-            if self.notes.take(seen, now)
+            if self.notes.apply(seen, now)
             and self._keep(seen.service, seen.session, seen.version, now)
         }
         for service in kept:
--- a/walnutquay/coordination/trials/versions.py
+++ b/walnutquay/coordination/trials/versions.py
@@ -29,8 +29,8 @@
 from walnutquay.state.process.ids import ServiceName, VersionName
 from walnutquay.state.store.orders import OrderState, RolloutOrder
 from walnutquay.state.trials.choice import ChoiceReason, VersionChoice
+from walnutquay.state.trials.hashing import is_assigned_to_new
 from walnutquay.state.trials.notes import SessionNote
-from walnutquay.state.trials.numbers import falls_to_new
 from walnutquay.state.trials.reports import TrialReport
 from walnutquay.state.trials.settled import SettledVersions
 from walnutquay.state.trials.trial import Trial
@@ -146,18 +146,18 @@
         """Begin a trial, and let the other VMs know which sessions it must not move."""
         self.settled.begun(order)
         now = monotonic()
-        witnessed = order.state is OrderState.NEW
+        start_observed = order.state is OrderState.NEW
         elapsed = 0.0
         if order.started is not None:
             # Others have seen it before; their time of day may differ from ours.
             elapsed = min(max(0.0, unix_seconds() - order.started), order.seconds)
         limit = self.promises.trial_share
-        trial = Trial(order, now - elapsed, limit, witnessed)
+        trial = Trial(order, now - elapsed, limit, start_observed)
         spread = self.context.rng.random() * FIRST_WRITE_SPREAD
         task = self.tasks[order.service] = TrialTask(trial, now + spread)
         self.sessions.trial_begins(trial)
         trial.opens_at = trial.started + SETTLE_SECONDS
-        if not witnessed:
+        if not start_observed:
             task.asking = True
             self.background.spawn(self.exchange.catch_up(task))
         if trial.kept.own:
@@ -244,7 +244,7 @@
         trial = task.trial
         if turn.avoid_new:
             return False, ChoiceReason.FAILED_THERE
-        if trial.braked:
+        if trial.rejected:
             return False, ChoiceReason.BRAKED
         version = trial.order.version
         if version not in self.knowledge.instances.book.versions_of(turn.service):
@@ -253,7 +253,7 @@
         seen_on_new = note.at if note is not None and on_new else -math.inf
         # The session's other requests may have come to any VM: with 6 VMs four of five
         # neighbouring requests did.
-        if turn.session and trial.keeps(turn.session, seen_on_new, now):
+        if turn.session and trial.must_stay_on_old(turn.session, seen_on_new, now):
             return False, ChoiceReason.KEPT
         if on_new:
             return True, ChoiceReason.SESSION_ON_NEW
@@ -262,7 +262,7 @@
         if not self._is_open(task, now):
             return False, ChoiceReason.NOT_OPEN
         session = turn.session or turn.arrival.request
-        return falls_to_new(session, version, share), ChoiceReason.SHARE
+        return is_assigned_to_new(session, version, share), ChoiceReason.SHARE
 
     def began(self, turn: RoutedTurn, grant: Grant) -> None:
         """:param turn: a request that is sent now.
@@ -319,10 +319,10 @@
     # Decisions.
 
     def _judge(self, trial: Trial) -> None:
-        if trial.braked or not trial.is_bad(monotonic()):
+        if trial.rejected or not trial.is_bad(monotonic()):
             return
         fault = trial.fault()
-        trial.braked = True
+        trial.rejected = True
         task = self.tasks.get(trial.order.service)
         if task is not None:
             task.found_bad = True
@@ -357,7 +357,7 @@
         self.exchange.tell_if_due(task)
         if self.exchange.record is not None:
             self.exchange.record.keep(task)
-        if trial.braked:
+        if trial.rejected:
             await self._withdraw(task)
         elif trial.ready_to_end(now):
             if monotonic() >= task.write_at:
--- a/walnutquay/daemon/metricsapi.py
+++ b/walnutquay/daemon/metricsapi.py
@@ -112,10 +112,10 @@
             label = f'service="{service}",version="{task.trial.order.version}"'
             kept = task.trial.kept
             yield f"{PREFIX}_trial_kept{{{label}}} {len(kept.own)}"
-            yield f"{PREFIX}_trial_kept_heard{{{label}}} {len(kept.heard)}"
+            yield f"{PREFIX}_trial_kept_heard{{{label}}} {len(kept.received)}"
             yield f"{PREFIX}_trial_open{{{label}}} {int(task.trial.open)}"
             for measure in Measure:
-                counts = task.trial.tally().total(measure)
+                counts = task.trial.outcome_counts().total(measure)
                 labels = f'{{{label},measure="{measure.value}"}}'
                 yield f"{PREFIX}_trial_good{labels} {counts.good}"
                 yield f"{PREFIX}_trial_bad{labels} {counts.bad}"
--- a/walnutquay/protocol/peer.py
+++ b/walnutquay/protocol/peer.py
@@ -29,10 +29,10 @@
 )
 from walnutquay.state.requests.ends import CrashTarget, CrashTrace
 from walnutquay.state.routed.gains import GainCounts, GainRow, ModelPair
+from walnutquay.state.trials.baseline import BaselineTime
 from walnutquay.state.trials.counts import Measure, TrialCounts
 from walnutquay.state.trials.notes import SeenSession
 from walnutquay.state.trials.reports import AnswerCounts, TrialReport, Verdict
-from walnutquay.state.trials.usual import UsualTime
 
 schema = capnp.load(str(Path(__file__).with_name("peer.capnp")))
 
@@ -80,7 +80,7 @@
         Verdict(reader.verdict),
         reader.elapsed if reader.elapsed >= 0.0 else None,
         reader.opensIn,
-        tuple(UsualTime(row.kind, row.seconds, row.seen) for row in reader.usual),
+        tuple(BaselineTime(row.kind, row.seconds, row.seen) for row in reader.usual),
         reader.seen,
         _counts(reader.oldRows),
     )
--- a/walnutquay/state/trials/usual.py
+++ b/walnutquay/state/trials/baseline.py
@@ -26,10 +26,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UsualTime:
+class BaselineTime:
     """How long one kind of answer takes.
 
-    :param kind: the number of the kind; see :func:`kind_number`.
+    :param kind: the number of the kind; see :func:`kind_hash`.
     :param seconds: the mean.
     :param seen: the answers that it stands for.
     """
@@ -39,7 +39,7 @@
     seen: int
 
 
-def kind_number(kind: str) -> int:
+def kind_hash(kind: str) -> int:
     """Number a kind of answer, for its name is six times as long.
 
     :param kind: the kind.
@@ -48,7 +48,7 @@
     return xxhash.xxh3_64_intdigest(kind.encode())
 
 
-class UsualTimes:
+class BaselineTimes:
     """What is usual, learnt here and told by others."""
 
     def __init__(self) -> None:
@@ -56,11 +56,13 @@
             MAX_SERVICES, PaceTable
         )
         # What each other VM has told last, and each other data hall; by kind.
-        self.told: dict[ServiceName, dict[VmName, dict[int, UsualTime]]] = {}
-        self.told_by_hall: dict[ServiceName, dict[HallName, dict[int, UsualTime]]] = {}
+        self.received: dict[ServiceName, dict[VmName, dict[int, BaselineTime]]] = {}
+        self.received_by_hall: dict[
+            ServiceName, dict[HallName, dict[int, BaselineTime]]
+        ] = {}
         # All of that together: from 194 VMs' rows a ratio takes 5 microseconds so, and
         # 151 where they are put together each time (processor time of 2,000 ratios).
-        self.all_told: dict[ServiceName, dict[int, UsualTime]] = {}
+        self.all_told: dict[ServiceName, dict[int, BaselineTime]] = {}
 
     def learn(self, service: ServiceName, kind: str, seconds: float) -> None:
         """:param service: a service.
@@ -86,9 +88,9 @@
             return None
         return seconds / usual.seconds
 
-    def _usual_of(self, service: ServiceName, kind: str) -> UsualTime:
+    def _usual_of(self, service: ServiceName, kind: str) -> BaselineTime:
         """Give what this VM and the others have seen of one kind."""
-        number = kind_number(kind)
+        number = kind_hash(kind)
         if service not in self.all_told:
             rows = _merged(self._told(service))
             self.all_told[service] = {row.kind: row for row in rows}
@@ -96,7 +98,7 @@
         own = [row for row in self.rows(service) if row.kind == number]
         return _mean(number, own + ([told] if told is not None else []))
 
-    def rows(self, service: ServiceName) -> tuple[UsualTime, ...]:
+    def rows(self, service: ServiceName) -> tuple[BaselineTime, ...]:
         """:param service: a service.
 
         :returns: what this VM has seen itself.
@@ -105,26 +107,28 @@
         if own is None:
             return ()
         return tuple(
-            UsualTime(kind_number(kind), pace.seconds, min(pace.seen, MAX_SEEN))
+            BaselineTime(kind_hash(kind), pace.seconds, min(pace.seen, MAX_SEEN))
             for kind, pace in own.paces.entries.items()
         )
 
-    def rows_of_hall(self, service: ServiceName) -> tuple[UsualTime, ...]:
+    def rows_of_hall(self, service: ServiceName) -> tuple[BaselineTime, ...]:
         """:param service: a service.
 
         :returns: what the VMs of this data hall have seen together.
         """
-        told = self.told.get(service, {}).values()
+        told = self.received.get(service, {}).values()
         return _merged([*self.rows(service), *_flat(told)])
 
-    def all_rows(self, service: ServiceName) -> tuple[UsualTime, ...]:
+    def all_rows(self, service: ServiceName) -> tuple[BaselineTime, ...]:
         """:param service: a service.
 
         :returns: all that is known here, for a VM that starts.
         """
         return _merged([*self.rows(service), *self._told(service)])
 
-    def hear(self, service: ServiceName, vm: VmName, rows: Iterable[UsualTime]) -> None:
+    def receive(
+        self, service: ServiceName, vm: VmName, rows: Iterable[BaselineTime]
+    ) -> None:
         """Take in what another VM has seen, in place of what it told before.
 
         :param service: the service.
@@ -133,11 +137,11 @@
         """
         by_kind = {row.kind: row for row in rows}
         if by_kind:
-            self.told.setdefault(service, {})[vm] = by_kind
+            self.received.setdefault(service, {})[vm] = by_kind
             self.all_told.pop(service, None)
 
-    def hear_hall(
-        self, service: ServiceName, hall: HallName, rows: Iterable[UsualTime]
+    def receive_from_hall(
+        self, service: ServiceName, hall: HallName, rows: Iterable[BaselineTime]
     ) -> None:
         """Take in what the VMs of another data hall have seen.
 
@@ -147,38 +151,38 @@
         """
         by_kind = {row.kind: row for row in rows}
         if by_kind:
-            self.told_by_hall.setdefault(service, {})[hall] = by_kind
+            self.received_by_hall.setdefault(service, {})[hall] = by_kind
             self.all_told.pop(service, None)
 
-    def recover(self, service: ServiceName, rows: Iterable[UsualTime]) -> None:
+    def recover(self, service: ServiceName, rows: Iterable[BaselineTime]) -> None:
         """Take in what many VMs had seen, as this one starts.
 
         :param service: the service.
         :param rows: what they had seen.
         """
-        self.hear(service, MANY, rows)
+        self.receive(service, MANY, rows)
 
-    def _told(self, service: ServiceName) -> list[UsualTime]:
-        vms = self.told.get(service, {}).values()
-        halls = self.told_by_hall.get(service, {}).values()
+    def _told(self, service: ServiceName) -> list[BaselineTime]:
+        vms = self.received.get(service, {}).values()
+        halls = self.received_by_hall.get(service, {}).values()
         return [*_flat(vms), *_flat(halls)]
 
 
-def _flat(told: Iterable[dict[int, UsualTime]]) -> list[UsualTime]:
+def _flat(told: Iterable[dict[int, BaselineTime]]) -> list[BaselineTime]:
     return [row for rows in told for row in rows.values()]
 
 
-def _merged(rows: Iterable[UsualTime]) -> tuple[UsualTime, ...]:
-    by_kind: dict[int, list[UsualTime]] = {}
+def _merged(rows: Iterable[BaselineTime]) -> tuple[BaselineTime, ...]:
+    by_kind: dict[int, list[BaselineTime]] = {}
     for row in rows:
         by_kind.setdefault(row.kind, []).append(row)
     return tuple(_mean(kind, found) for kind, found in by_kind.items())
 
 
-def _mean(kind: int, rows: list[UsualTime]) -> UsualTime:
+def _mean(kind: int, rows: list[BaselineTime]) -> BaselineTime:
     """Put together what several have seen of one kind."""
     seen = sum(row.seen for row in rows)
     if not seen:
-        return UsualTime(kind, 0.0, 0)
+        return BaselineTime(kind, 0.0, 0)
     seconds = sum(row.seconds * row.seen for row in rows) / seen
-    return UsualTime(kind, seconds, min(seen, MAX_SEEN))
+    return BaselineTime(kind, seconds, min(seen, MAX_SEEN))
--- a/walnutquay/state/trials/counts.py
+++ b/walnutquay/state/trials/counts.py
@@ -148,8 +148,8 @@
         :returns: all together.
         """
         found = TrialTally()
-        for tally in (self, *others):
-            for subject, counts in tally.by_subject.items():
+        for outcome_counts in (self, *others):
+            for subject, counts in outcome_counts.by_subject.items():
                 found.by_subject[subject] = found.of(subject) + counts
         return found
 
--- a/walnutquay/state/trials/evidence.py
+++ b/walnutquay/state/trials/evidence.py
@@ -45,19 +45,19 @@
         self.old = TrialTally()
         # What other VMs have told of the new version; in large fleets those of this
         # data hall, and of the other halls what all their VMs have seen together.
-        self.told: dict[VmProcess, TrialTally] = {}
-        self.told_by_hall: dict[HallName, TrialTally] = {}
+        self.received: dict[VmProcess, TrialTally] = {}
+        self.received_by_hall: dict[HallName, TrialTally] = {}
         # The same of the old version meanwhile, all routes together, and its sum.
         self.old_told: dict[VmProcess, TrialTally] = {}
         self.old_told_by_hall: dict[HallName, TrialTally] = {}
         self.old_seen: TrialTally | None = None
-        # All of it together, with what it was made of; see :meth:`tally`.
+        # All of it together, with what it was made of; see :meth:`outcome_counts`.
         self.all_seen: tuple[AnswerCounts, TrialTally] | None = None
         # How many answers of the new version were sluggish as it was looked at: the
         # first of these tells how many were before the latest ones.
         self.sluggish: deque[TrialCounts] = deque()
 
-    def tally(self) -> TrialTally:
+    def outcome_counts(self) -> TrialTally:
         """Give what all VMs together have seen of the new version.
 
         Each request asks for it, so it is put together only where something has come:
@@ -66,7 +66,7 @@
         own = self.own.frozen()
         if self.all_seen is not None and self.all_seen[0] == own:
             return self.all_seen[1]
-        told = [*self.told.values(), *self.told_by_hall.values()]
+        told = [*self.received.values(), *self.received_by_hall.values()]
         seen = self.own.merged(told)
         self.all_seen = (own, seen)
         return seen
@@ -90,7 +90,7 @@
         :param vm: its process: what an earlier one has seen there is still true.
         :param report: what it tells.
         """
-        self.told[vm] = report.tally()
+        self.received[vm] = report.outcome_counts()
         self.old_told[vm] = report.old_tally()
         self.all_seen = self.old_seen = None
 
@@ -100,43 +100,45 @@
         :param hall: the hall.
         :param report: what is told, in place of what was told of it before.
         """
-        self.told_by_hall[hall] = report.tally()
+        self.received_by_hall[hall] = report.outcome_counts()
         self.old_told_by_hall[hall] = report.old_tally()
         self.all_seen = self.old_seen = None
 
     def old_of_hall(self) -> AnswerCounts:
         """:returns: what the VMs of this data hall have seen of the old version."""
-        told = [tally for vm, tally in self.old_told.items() if vm != LOST]
+        told = [
+            outcome_counts for vm, outcome_counts in self.old_told.items() if vm != LOST
+        ]
         return summed(self.old.merged(told))
 
     def fault(self) -> Fault | None:
         """:returns: what tells against the version; None if nothing does."""
-        tally = self.tally()
-        if self._fails(tally):
+        outcome_counts = self.outcome_counts()
+        if self._fails(outcome_counts):
             return Fault.FAILS
-        return self._slowness(tally)
+        return self._slowness(outcome_counts)
 
-    def _fails(self, tally: TrialTally) -> bool:
+    def _fails(self, outcome_counts: TrialTally) -> bool:
         """Whether too many answers fail, on all routes or on one."""
         failed = Measure.FAILED
-        if condemned(failed, tally.total(failed), self.old_total(failed)):
+        if condemned(failed, outcome_counts.total(failed), self.old_total(failed)):
             return True
         return any(
             condemned(failed, counts, self.old.of(subject))
-            for subject, counts in tally.by_subject.items()
+            for subject, counts in outcome_counts.by_subject.items()
             if subject[0] is failed
         )
 
-    def _slowness(self, tally: TrialTally) -> Fault | None:
+    def _slowness(self, outcome_counts: TrialTally) -> Fault | None:
         """Tell whether too many answers are slow, or more are sluggish than usual.
 
         Of one route alone a few are slow by chance, as engines have little cached
         when a version is new: judged by it, good versions were taken back.
         """
         slow = Measure.SLOW
-        if condemned(slow, tally.total(slow), self.old_total(slow)):
+        if condemned(slow, outcome_counts.total(slow), self.old_total(slow)):
             return Fault.SLOW
-        sluggish = tally.total(Measure.SLUGGISH)
+        sluggish = outcome_counts.total(Measure.SLUGGISH)
         old = self.old_total(Measure.SLUGGISH)
         if is_sluggish(sluggish, old):
             return Fault.SLUGGISH
@@ -155,7 +157,7 @@
 
     def note_sluggish(self) -> None:
         """Note how many answers were sluggish until now."""
-        now = self.tally().total(Measure.SLUGGISH)
+        now = self.outcome_counts().total(Measure.SLUGGISH)
         if self.sluggish and now.seen < self.sluggish[-1].seen:
             # A VM that had told of some has told anew since.
             self.sluggish.clear()
@@ -165,21 +167,26 @@
         while len(self.sluggish) > 1 and now.seen - self.sluggish[1].seen >= latest:
             self.sluggish.popleft()
 
-    def is_harmless(self, tally: TrialTally, measure: Measure) -> bool:
+    def is_harmless(self, outcome_counts: TrialTally, measure: Measure) -> bool:
         """Whether there are hardly more bad answers than the old version gives."""
         usual = BASE_FACTOR * self.old_total(measure).bad_share
-        return tally.total(measure).bad_share <= TRUSTED_BAD_SHARE[measure] + usual
+        return (
+            outcome_counts.total(measure).bad_share
+            <= TRUSTED_BAD_SHARE[measure] + usual
+        )
 
     def begin_anew(self) -> None:
         """Count only what is seen from now on."""
         self.own = TrialTally()
-        self.told.clear()
-        self.told_by_hall.clear()
+        self.received.clear()
+        self.received_by_hall.clear()
         self.all_seen = None
         self.sluggish.clear()
 
     def seen_in_hall(self) -> TrialTally:
         """:returns: what the VMs of this data hall have seen together."""
         # What was kept of lost VMs is not this hall's.
-        told = [tally for vm, tally in self.told.items() if vm != LOST]
+        told = [
+            outcome_counts for vm, outcome_counts in self.received.items() if vm != LOST
+        ]
         return self.own.merged(told)
--- a/walnutquay/state/trials/numbers.py
+++ b/walnutquay/state/trials/hashing.py
@@ -10,7 +10,7 @@
 HASH_SPAN = float(1 << 64)
 
 
-def session_number(session: str, version: str) -> int:
+def session_hash(session: str, version: str) -> int:
     """Number a session for a trial; all VMs number alike.
 
     :param session: the session, or the request where it has none.
@@ -20,11 +20,11 @@
     return xxhash.xxh3_64_intdigest(f"{version}\n{session}".encode())
 
 
-def falls_to_new(session: str, version: str, share: float) -> bool:
+def is_assigned_to_new(session: str, version: str, share: float) -> bool:
     """Decide for a session; all VMs decide alike, and a larger share keeps its own.
 
     :param session: the session, or the request where it has none.
     :param version: the new version.
     :param share: the share of sessions that it gets.
     """
-    return session_number(session, version) / HASH_SPAN < share
+    return session_hash(session, version) / HASH_SPAN < share
--- a/walnutquay/state/trials/kept.py
+++ b/walnutquay/state/trials/kept.py
@@ -17,14 +17,14 @@
     """The numbers of sessions that all VMs leave on the old version.
 
     A session's number tells whether it falls to the new version, see
-    :func:`walnutquay.state.trials.trial.session_number`.
+    :func:`walnutquay.state.trials.trial.session_hash`.
     """
 
     def __init__(self) -> None:
         # Kept by this VM, and since when; monotonic seconds.
         self.own: dict[int, float] = {}
         # Kept by others, and when that was heard first.
-        self.heard: dict[int, float] = {}
+        self.received: dict[int, float] = {}
 
     def keep(self, number: int, now: float) -> bool:
         """Keep a session that this VM has sent to the old version.
@@ -33,33 +33,33 @@
         :param now: monotonic seconds.
         :returns: whether the others do not know it yet.
         """
-        if number in self.own or number in self.heard or len(self.own) >= MAX_OWN:
+        if number in self.own or number in self.received or len(self.own) >= MAX_OWN:
             return False
         self.own[number] = now
         return True
 
-    def hear(self, numbers: Iterable[int], now: float) -> int:
+    def receive(self, numbers: Iterable[int], now: float) -> int:
         """Take in what another VM keeps.
 
         :param numbers: the sessions' numbers.
         :param now: monotonic seconds.
         :returns: how many of them were not known.
         """
-        before = len(self.heard)
+        before = len(self.received)
         for number in numbers:
-            if len(self.heard) >= MAX_HEARD:
+            if len(self.received) >= MAX_HEARD:
                 break
             if number not in self.own:
-                self.heard.setdefault(number, now)
-        return len(self.heard) - before
+                self.received.setdefault(number, now)
+        return len(self.received) - before
 
     def since(self, number: int) -> float | None:
         """:param number: a session's number.
 
         :returns: since when this VM knows that it is kept; None where it is not.
         """
-        return self.own.get(number, self.heard.get(number))
+        return self.own.get(number, self.received.get(number))
 
     def all(self) -> tuple[int, ...]:
         """:returns: the numbers of all sessions that are known to be kept."""
-        return (*self.own, *self.heard)
+        return (*self.own, *self.received)
--- a/walnutquay/state/trials/notes.py
+++ b/walnutquay/state/trials/notes.py
@@ -72,7 +72,9 @@
             MAX_SESSIONS, SessionNote
         )
 
-    def of(self, service: ServiceName, session: str, now: float) -> SessionNote | None:
+    def find(
+        self, service: ServiceName, session: str, now: float
+    ) -> SessionNote | None:
         """:param service: a service.
 
         :param session: a session; empty for none.
@@ -113,7 +115,7 @@
         # A note that gave way to newer ones may have been made anew since.
         note.running = max(0, note.running - 1)
 
-    def take(self, seen: SeenSession, now: float) -> bool:
+    def apply(self, seen: SeenSession, now: float) -> bool:
         """Take over what another VM has seen, unless this one has seen more.
 
         :param seen: a session.
--- a/walnutquay/state/trials/reports.py
+++ b/walnutquay/state/trials/reports.py
@@ -8,8 +8,8 @@
 from enum import Enum
 
 from walnutquay.state.process.ids import RouteName, VersionName
+from walnutquay.state.trials.baseline import BaselineTime
 from walnutquay.state.trials.counts import Measure, Subject, TrialCounts, TrialTally
-from walnutquay.state.trials.usual import UsualTime
 
 
 class Verdict(Enum):
@@ -51,11 +51,11 @@
     verdict: Verdict = Verdict.UNSURE
     elapsed: float | None = None
     opens_in: float = 0.0
-    usual: tuple[UsualTime, ...] = ()
+    usual: tuple[BaselineTime, ...] = ()
     seen: int = 0
     old: AnswerCounts = ()
 
-    def tally(self) -> TrialTally:
+    def outcome_counts(self) -> TrialTally:
         """:returns: its counts of the new version."""
         return _tally(self.counts)
 
@@ -70,12 +70,12 @@
     return found
 
 
-def summed(tally: TrialTally) -> AnswerCounts:
-    """:param tally: counts of answers.
+def summed(outcome_counts: TrialTally) -> AnswerCounts:
+    """:param outcome_counts: counts of answers.
 
     :returns: those of all routes together, without the endpoints.
     """
-    totals = ((measure, tally.total(measure)) for measure in Measure)
+    totals = ((measure, outcome_counts.total(measure)) for measure in Measure)
     return tuple(
         ((measure, ALL_ROUTES), TrialCounts(total.good, total.bad))
         for measure, total in totals
--- a/walnutquay/state/trials/trial.py
+++ b/walnutquay/state/trials/trial.py
@@ -15,8 +15,8 @@
 from walnutquay.state.store.orders import RolloutOrder
 from walnutquay.state.trials.counts import Measure
 from walnutquay.state.trials.evidence import LOST, TrialEvidence
+from walnutquay.state.trials.hashing import HASH_SPAN, session_hash
 from walnutquay.state.trials.kept import KeptSessions
-from walnutquay.state.trials.numbers import HASH_SPAN, session_number
 from walnutquay.state.trials.reports import TrialReport, Verdict, summed
 
 # The share of new sessions in the first half, of what a bad version may get.  The
@@ -47,7 +47,8 @@
     :param order: the order.
     :param started: when it began; monotonic seconds, as the time of day may jump.
     :param share_limit: the share of requests that a bad version may get.
-    :param witnessed: whether this VM saw the order before any had noted its beginning.
+    :param start_observed: whether this VM saw the order before any had noted its
+        beginning.
     """
 
     def __init__(
@@ -55,13 +56,13 @@
         order: RolloutOrder,
         started: float,
         share_limit: float,
-        witnessed: bool = False,
+        start_observed: bool = False,
     ) -> None:
         super().__init__()
         self.order = order
         self.started = started
         self.share_limit = share_limit
-        self.witnessed = witnessed
+        self.start_observed = start_observed
         # Whether the new version gets sessions, and when it may at the earliest;
         # monotonic seconds.  Until then VMs learn of the order and of its endpoints,
         # and tell each other which sessions are kept.
@@ -72,7 +73,7 @@
         # only answers under more load count.
         self.trusted = False
         # Set when the version was found bad here: it is final.
-        self.braked = False
+        self.rejected = False
 
     def progress(self, now: float) -> float:
         """:param now: monotonic seconds.
@@ -81,7 +82,7 @@
         """
         return max(0.0, now - self.started) / max(1.0, self.order.seconds)
 
-    def hear(self, vm: VmProcess, report: TrialReport, now: float) -> None:
+    def receive(self, vm: VmProcess, report: TrialReport, now: float) -> None:
         """Take in what another VM has seen and decided.
 
         :param vm: its process: what an earlier one has seen there is still true.
@@ -89,9 +90,11 @@
         :param now: monotonic seconds.
         """
         self.hear_counts(vm, report)
-        self.hear_decided(report, now)
+        self.receive_decisions(report, now)
 
-    def hear_hall(self, hall: HallName, report: TrialReport, now: float) -> bool:
+    def receive_from_hall(
+        self, hall: HallName, report: TrialReport, now: float
+    ) -> bool:
         """Take in what the VMs of another data hall have seen and decided.
 
         :param hall: the hall.
@@ -99,12 +102,12 @@
         :param now: monotonic seconds.
         :returns: whether there was anything new.
         """
-        before = self.told_by_hall.get(hall)
+        before = self.received_by_hall.get(hall)
         self.hear_counts_of_hall(hall, report)
-        told = self.told_by_hall[hall]
-        decided = self.braked, self.trusted
-        self.hear_decided(report, now)
-        if decided != (self.braked, self.trusted):
+        told = self.received_by_hall[hall]
+        decided = self.rejected, self.trusted
+        self.receive_decisions(report, now)
+        if decided != (self.rejected, self.trusted):
             return True
         return before is None or before.by_subject != told.by_subject
 
@@ -117,19 +120,19 @@
         """
         self.opens_at = now + report.opens_in
         self.open = not report.opens_in
-        self.hear_decided(report, now)
+        self.receive_decisions(report, now)
 
-    def hear_decided(self, report: TrialReport, now: float) -> None:
+    def receive_decisions(self, report: TrialReport, now: float) -> None:
         """Take over what another VM has decided for all: sessions must not go back.
 
         :param report: what it tells; its counts are left out.
         :param now: monotonic seconds.
         """
-        self.kept.hear(report.kept, now)
+        self.kept.receive(report.kept, now)
         if report.elapsed is not None:
             self._take_start(now - report.elapsed)
         if report.verdict is Verdict.BAD:
-            self.braked = True
+            self.rejected = True
         elif report.verdict is Verdict.GOOD:
             self._follow(now)
 
@@ -149,16 +152,16 @@
 
     def _take_start(self, started: float) -> None:
         """Count from when the first VM saw the order; news are late, never early."""
-        if self.witnessed:
+        if self.start_observed:
             started = min(started, self.started)
         self.started = started
-        self.witnessed = True
+        self.start_observed = True
 
     def _knows_little(self) -> bool:
         """Whether this VM is unsure for want of answers only, not for bad ones."""
-        tally = self.tally()
-        bad = sum(tally.total(measure).bad for measure in TRUSTED_BY)
-        return not bad and tally.total(Measure.FAILED).good < MIN_GOOD
+        outcome_counts = self.outcome_counts()
+        bad = sum(outcome_counts.total(measure).bad for measure in TRUSTED_BY)
+        return not bad and outcome_counts.total(Measure.FAILED).good < MIN_GOOD
 
     def report(self, now: float, whole: bool = False) -> TrialReport:
         """:param now: monotonic seconds.
@@ -173,9 +176,9 @@
             self.own.frozen(),
             () if self.may_move_sessions(now) else kept,
             self._acted_on(now),
-            now - self.started if self.witnessed else None,
+            now - self.started if self.start_observed else None,
             self.opens_in(now),
-            seen=self.tally().seen,
+            seen=self.outcome_counts().seen,
             old=summed(self.old),
         )
 
@@ -196,7 +199,7 @@
         return TrialReport(
             self.order.name,
             self.order.version,
-            self.tally().frozen(),
+            self.outcome_counts().frozen(),
             verdict=self._acted_on(now),
         )
 
@@ -206,12 +209,12 @@
         :param report: what they had seen and decided.
         :param now: monotonic seconds.
         """
-        self.hear_decided(report, now)
+        self.receive_decisions(report, now)
         self.hear_counts(LOST, report)
 
     def _acted_on(self, now: float) -> Verdict:
         """Give the verdict by which this VM moves sessions already."""
-        if self.braked:
+        if self.rejected:
             return Verdict.BAD
         if self.trusted or (self.ramping(now) and self.verdict() is Verdict.GOOD):
             return Verdict.GOOD
@@ -234,12 +237,12 @@
         :param now: monotonic seconds.
         :returns: whether the other VMs have to be told.
         """
-        if self.braked or self.ramping(now):
+        if self.rejected or self.ramping(now):
             return False
-        number = session_number(session, self.order.version)
+        number = session_hash(session, self.order.version)
         return number / HASH_SPAN < self.first_share and self.kept.keep(number, now)
 
-    def keeps(self, session: str, seen_on_new: float, now: float) -> bool:
+    def must_stay_on_old(self, session: str, seen_on_new: float, now: float) -> bool:
         """:param session: a session.
 
         :param seen_on_new: when this VM last saw it on the new version; minus infinity
@@ -249,20 +252,22 @@
         """
         if self.may_move_sessions(now):
             return False
-        since = self.kept.since(session_number(session, self.order.version))
+        since = self.kept.since(session_hash(session, self.order.version))
         return since is not None and seen_on_new <= since
 
     def verdict(self) -> Verdict:
         """:returns: what is thought of the version now."""
-        if self.braked:
+        if self.rejected:
             return Verdict.BAD
         if self.fault() is not None:
             return Verdict.BAD
         if self.trusted:
             return Verdict.GOOD
-        tally = self.tally()
-        trusted = all(self.is_harmless(tally, measure) for measure in TRUSTED_BY)
-        enough = tally.total(Measure.FAILED).good >= MIN_GOOD
+        outcome_counts = self.outcome_counts()
+        trusted = all(
+            self.is_harmless(outcome_counts, measure) for measure in TRUSTED_BY
+        )
+        enough = outcome_counts.total(Measure.FAILED).good >= MIN_GOOD
         return Verdict.GOOD if trusted and enough else Verdict.UNSURE
 
     def advance(self, now: float) -> None:
@@ -309,7 +314,7 @@
         if verdict is Verdict.BAD:
             return True
         late = self.progress(now) >= UNSURE_UNTIL
-        bad = sum(self.tally().total(measure).bad for measure in TRUSTED_BY)
+        bad = sum(self.outcome_counts().total(measure).bad for measure in TRUSTED_BY)
         doubtful = bad >= DOUBTFUL_BAD
         return late and verdict is Verdict.UNSURE and doubtful
 
@@ -323,7 +328,7 @@
 
         :returns: the share of sessions that the new version gets.
         """
-        if self.braked:
+        if self.rejected:
             return 0.0
         first = self.first_share
         progress = self.progress(now)
