--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -27,7 +27,7 @@
         "state/trials/counts.py",
         "counts.bad_share < MIN_SLUGGISH_SHARE",
         "True",
-        "tests.state.trials.test_trials.VerdictTest.test_a_version_that_is_slow_in_part",
+        "tests.state.trials.test_trials.VerdictTest.test_partly_slow_version_is_bad",
     ),
     Mutation(
         "leaving endpoints: only the store's own return makes deletions doubtful",
--- a/lab/trials/ablation.py
+++ b/lab/trials/ablation.py
@@ -63,7 +63,7 @@
 
 def switched_off() -> dict[str, AbstractContextManager]:
     """:returns: what switches each part off, by the part's name."""
-    nothing_kept = mock.patch.object(Trial, "keeps", lambda *_: False)
+    nothing_kept = mock.patch.object(Trial, "must_stay_on_old", lambda *_: False)
     told_once = mock.patch.object(trialtask, "DECIDED_TELLS", 1)
     at_once = mock.patch.object(versions, "SETTLE_SECONDS", 0.0)
     nobody_asked = mock.patch.object(TrialExchange, "catch_up", _ask_nobody)
--- a/tests/state/trials/test_sessionnotes.py
+++ b/tests/state/trials/test_sessionnotes.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What one VM notes of the sessions that it serves."""
+"""Records of the version that last served each session of one VM."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 
 
 class SessionNotesTest(unittest.TestCase):
-    """A session is over some time after its last request has ended."""
+    """A session expires some time after its last request has ended."""
 
     def setUp(self):
         self.notes = SessionNotes(KEEP_SECONDS)
 
     def version(self, now: float, service: ServiceName = S) -> str | None:
-        """:returns: the version that is noted of the session, unless it is over."""
+        """Return the recorded version of the session; None if it has expired."""
         note = self.notes.find(service, "a", now)
         return None if note is None else note.version
 
-    def test_a_long_stream_keeps_its_session(self):
+    def test_session_does_not_expire_during_a_long_stream(self):
         self.notes.began(S, "a", V1, 0.0)
         self.assertEqual(self.version(100.0), V1)
         self.notes.ended(S, "a", 100.0)
         self.assertEqual(self.version(105.9), V1)
         self.assertIsNone(self.version(106.0))
 
-    def test_requests_that_overlap(self):
+    def test_overlapping_requests(self):
         self.notes.began(S, "a", V1, 0.0)
         self.notes.began(S, "a", V1, 1.0)
         self.notes.ended(S, "a", 2.0)
@@ -41,38 +41,38 @@
         self.notes.ended(S, "a", 50.0)
         self.assertIsNone(self.version(60.0))
 
-    def test_services_have_versions_of_their_own(self):
+    def test_services_have_separate_records(self):
         self.notes.began(S, "a", V1, 0.0)
         self.assertIsNone(self.version(1.0, ServiceName("other")))
 
-    def test_no_session(self):
+    def test_request_without_session(self):
         self.assertIsNone(self.notes.find(S, "", 0.0))
 
-    def test_an_end_without_a_beginning_changes_nothing(self):
+    def test_end_without_a_start_is_ignored(self):
         self.notes.ended(S, "a", 1.0)
         self.notes.began(S, "a", V1, 2.0)
         self.notes.ended(S, "a", 3.0)
         self.notes.ended(S, "a", 3.0)
         self.assertIsNone(self.version(9.5))
 
-    def test_what_another_vm_has_seen(self):
-        for version, age, now, taken, expected in (
+    def test_record_from_another_vm(self):
+        for version, age, now, applied, expected in (
             (V1, 1.0, 2.0, True, V1),
-            # Seen before that.
+            # Older than the applied record.
             (V2, 2.0, 2.0, False, V1),
             (V2, 0.5, 2.0, True, V2),
         ):
             with self.subTest(version=version, age=age):
                 seen = SeenSession(S, "a", version, age)
-                self.assertIs(self.notes.apply(seen, now), taken)
+                self.assertIs(self.notes.apply(seen, now), applied)
                 self.assertEqual(self.version(now), expected)
 
-    def test_what_is_under_way_here_counts_more(self):
+    def test_own_request_in_progress_takes_precedence(self):
         self.notes.began(S, "a", V1, 0.0)
         self.assertFalse(self.notes.apply(SeenSession(S, "a", V2, 0.0), 5.0))
         self.assertEqual(self.version(5.0), V1)
 
-    def test_recent_ones(self):
+    def test_recent_yields_unexpired_sessions(self):
         self.notes.began(S, "a", V1, 0.0)
         self.notes.ended(S, "a", 0.0)
         self.notes.began(S, "b", V1, 0.0)
--- a/walnutquay/state/trials/__init__.py
+++ b/walnutquay/state/trials/__init__.py
@@ -1,7 +1,7 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Versions on trial: which sessions they get, and whether they are good.
+"""Trials of new versions: session assignment and evaluation.
 
-Decided from answers of both versions that all VMs have seen, and from the sessions that
-each version has served.
+Both use the outcomes of the two versions that all VMs have counted, and a record of
+which version served each session.
 """
--- a/walnutquay/state/trials/baseline.py
+++ b/walnutquay/state/trials/baseline.py
@@ -1,9 +1,9 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""How long answers of a service usually take, by what all VMs have seen.
+"""Baseline answer times of services, combined from all VMs.
 
-A version on trial is slow if its answers take longer than those of the old one.  A VM
-that has just started, or one of many, has seen too few of these to tell.
+A version on trial is slow if its answers take longer than those of the old version.  A
+VM that has just started, or one of many, has measured too few of the latter itself.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 from walnutquay.state.process.ids import HallName, ServiceName, VmName
 from walnutquay.state.requests.pace import MIN_SEEN, PaceTable
 
-# Services that are kept; a platform has a few.
+# The most services whose times are kept; a platform has a few.
 MAX_SERVICES = 100
-# Counts are told in 16 bits.
+# The largest count: counts are sent as 16-bit numbers.
 MAX_SEEN = 65_535
-# Stands for the VMs whose times this one was told as it started.
-MANY = VmName("")
+# The source under which times received at start-up are stored; they combine many VMs.
+STARTUP_VMS = VmName("")
 
 
 @dataclass(frozen=True, slots=True)
 class BaselineTime:
-    """How long one kind of answer takes.
+    """The mean time of one kind of answer.
 
-    :param kind: the number of the kind; see :func:`kind_hash`.
+    :param kind: the hash of the kind; see :func:`kind_hash`.
     :param seconds: the mean.
-    :param seen: the answers that it stands for.
+    :param seen: the number of answers that were measured.
     """
 
     kind: int
@@ -40,68 +40,71 @@
 
 
 def kind_hash(kind: str) -> int:
-    """Number a kind of answer, for its name is six times as long.
+    """Hash the name of a kind of answer, which is six times as long as the hash.
 
-    :param kind: the kind.
-    :returns: a number below 2 to the 64; all VMs number alike.
+    :param kind: the name of the kind.
+    :returns: a number less than 2 to the power of 64, the same on all VMs.
     """
     return xxhash.xxh3_64_intdigest(kind.encode())
 
 
 class BaselineTimes:
-    """What is usual, learnt here and told by others."""
+    """Baseline times measured by this VM and received from others."""
 
     def __init__(self) -> None:
         self.own: LatestTable[ServiceName, PaceTable] = LatestTable(
             MAX_SERVICES, PaceTable
         )
-        # What each other VM has told last, and each other data hall; by kind.
+        # The latest times from each other VM and each other data hall, by kind.
         self.received: dict[ServiceName, dict[VmName, dict[int, BaselineTime]]] = {}
         self.received_by_hall: dict[
             ServiceName, dict[HallName, dict[int, BaselineTime]]
         ] = {}
-        # All of that together: from 194 VMs' rows a ratio takes 5 microseconds so, and
-        # 151 where they are put together each time (processor time of 2,000 ratios).
-        self.all_told: dict[ServiceName, dict[int, BaselineTime]] = {}
+        # The cached combination of these.  With the rows of 194 VMs a ratio takes 5
+        # microseconds of processor time, and 151 if the rows are combined each time
+        # (measured over 2,000 ratios).
+        self.all_received: dict[ServiceName, dict[int, BaselineTime]] = {}
 
     def learn(self, service: ServiceName, kind: str, seconds: float) -> None:
-        """:param service: a service.
+        """Add a measured answer time of the old version.
 
-        :param kind: a kind of answer.
-        :param seconds: how long one of the old version took.
+        :param service: the service.
+        :param kind: the kind of answer.
+        :param seconds: the time that the answer took.
         """
         self.own.touch(service).learn(kind, seconds)
 
     def ratio(self, service: ServiceName, kind: str, seconds: float) -> float | None:
-        """:param service: a service.
+        """Compare an answer time with the baseline.
 
-        :param kind: a kind of answer.
-        :param seconds: how long one took.
-        :returns: how many times as long as usual; None where that is not known.
+        :param service: the service.
+        :param kind: the kind of answer.
+        :param seconds: the time that the answer took.
+        :returns: the time divided by the baseline; None if there is no baseline.
         """
         own = self.own.get(service)
         ratio = own.ratio(kind, seconds) if own is not None else None
         if ratio is not None:
             return ratio
-        usual = self._usual_of(service, kind)
-        if usual.seen < MIN_SEEN or not usual.seconds:
+        baseline = self._combined_time(service, kind)
+        if baseline.seen < MIN_SEEN or not baseline.seconds:
             return None
-        return seconds / usual.seconds
-
-    def _usual_of(self, service: ServiceName, kind: str) -> BaselineTime:
-        """Give what this VM and the others have seen of one kind."""
-        number = kind_hash(kind)
-        if service not in self.all_told:
-            rows = _merged(self._told(service))
-            self.all_told[service] = {row.kind: row for row in rows}
-        told = self.all_told[service].get(number)
-        own = [row for row in self.rows(service) if row.kind == number]
-        return _mean(number, own + ([told] if told is not None else []))
+        return seconds / baseline.seconds
+
+    def _combined_time(self, service: ServiceName, kind: str) -> BaselineTime:
+        """Return the mean of one kind from all VMs."""
+        hashed = kind_hash(kind)
+        if service not in self.all_received:
+            rows = _merged(self._received_rows(service))
+            self.all_received[service] = {row.kind: row for row in rows}
+        received = self.all_received[service].get(hashed)
+        own = [row for row in self.rows(service) if row.kind == hashed]
+        return _mean(hashed, own + ([received] if received is not None else []))
 
     def rows(self, service: ServiceName) -> tuple[BaselineTime, ...]:
-        """:param service: a service.
+        """Return the times that this VM has measured itself.
 
-        :returns: what this VM has seen itself.
+        :param service: the service.
         """
         own = self.own.get(service)
         if own is None:
@@ -112,64 +115,64 @@
         )
 
     def rows_of_hall(self, service: ServiceName) -> tuple[BaselineTime, ...]:
-        """:param service: a service.
+        """Return the combined times of the VMs in this data hall.
 
-        :returns: what the VMs of this data hall have seen together.
+        :param service: the service.
         """
-        told = self.received.get(service, {}).values()
-        return _merged([*self.rows(service), *_flat(told)])
+        received = self.received.get(service, {}).values()
+        return _merged([*self.rows(service), *_flat(received)])
 
     def all_rows(self, service: ServiceName) -> tuple[BaselineTime, ...]:
-        """:param service: a service.
+        """Return the combined times of all VMs, for a VM that starts.
 
-        :returns: all that is known here, for a VM that starts.
+        :param service: the service.
         """
-        return _merged([*self.rows(service), *self._told(service)])
+        return _merged([*self.rows(service), *self._received_rows(service)])
 
     def receive(
         self, service: ServiceName, vm: VmName, rows: Iterable[BaselineTime]
     ) -> None:
-        """Take in what another VM has seen, in place of what it told before.
+        """Replace the times of another VM, unless it sent none.
 
         :param service: the service.
         :param vm: the VM.
-        :param rows: what it has seen.
+        :param rows: the times that it measured.
         """
         by_kind = {row.kind: row for row in rows}
         if by_kind:
             self.received.setdefault(service, {})[vm] = by_kind
-            self.all_told.pop(service, None)
+            self.all_received.pop(service, None)
 
     def receive_from_hall(
         self, service: ServiceName, hall: HallName, rows: Iterable[BaselineTime]
     ) -> None:
-        """Take in what the VMs of another data hall have seen.
+        """Replace the combined times of another data hall, unless it sent none.
 
         :param service: the service.
         :param hall: the hall.
-        :param rows: what they have seen, in place of what was told of it before.
+        :param rows: the combined times of its VMs.
         """
         by_kind = {row.kind: row for row in rows}
         if by_kind:
             self.received_by_hall.setdefault(service, {})[hall] = by_kind
-            self.all_told.pop(service, None)
+            self.all_received.pop(service, None)
 
     def recover(self, service: ServiceName, rows: Iterable[BaselineTime]) -> None:
-        """Take in what many VMs had seen, as this one starts.
+        """Apply the combined times of other VMs when this one starts.
 
         :param service: the service.
-        :param rows: what they had seen.
+        :param rows: the combined times.
         """
-        self.receive(service, MANY, rows)
+        self.receive(service, STARTUP_VMS, rows)
 
-    def _told(self, service: ServiceName) -> list[BaselineTime]:
+    def _received_rows(self, service: ServiceName) -> list[BaselineTime]:
         vms = self.received.get(service, {}).values()
         halls = self.received_by_hall.get(service, {}).values()
         return [*_flat(vms), *_flat(halls)]
 
 
-def _flat(told: Iterable[dict[int, BaselineTime]]) -> list[BaselineTime]:
-    return [row for rows in told for row in rows.values()]
+def _flat(tables: Iterable[dict[int, BaselineTime]]) -> list[BaselineTime]:
+    return [row for rows in tables for row in rows.values()]
 
 
 def _merged(rows: Iterable[BaselineTime]) -> tuple[BaselineTime, ...]:
@@ -180,7 +183,7 @@
 
 
 def _mean(kind: int, rows: list[BaselineTime]) -> BaselineTime:
-    """Put together what several have seen of one kind."""
+    """Combine rows of one kind into their weighted mean."""
     seen = sum(row.seen for row in rows)
     if not seen:
         return BaselineTime(kind, 0.0, 0)
--- a/walnutquay/state/trials/choice.py
+++ b/walnutquay/state/trials/choice.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Which version of a service serves a request while one is on trial, and why."""
+"""The choice of a version for a request during a trial, with its reason."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 
 class ChoiceReason(Enum):
-    """What decided between the version on trial and the old one."""
+    """The reason for choosing the version on trial or the old one."""
 
-    # The share of sessions that the new version gets, by the session's hash.
+    # The session's hash, compared with the new version's share of sessions.
     SHARE = "share"
-    # Where the session was served last, as this VM has seen it.
+    # The version that served the session last, as recorded by this VM.
     SESSION_ON_NEW = "session-on-new"
     SESSION_ON_OLD = "session-on-old"
-    # It stays on the old version, as this VM or another has found.
+    # This VM or another has marked the session to stay on the old version.
     KEPT = "kept"
-    # The new version gets no sessions yet: VMs are telling each other of the trial.
+    # The new version gets no sessions until all VMs have learned of the trial.
     NOT_OPEN = "not-open"
-    # The new version has failed this very request.
+    # The new version has already failed this request.
     FAILED_THERE = "failed-there"
-    # The new version was found bad here.
+    # This VM has rejected the new version.
     BRAKED = "braked"
-    # No endpoint of the new version is known here.
+    # This VM knows of no endpoint of the new version.
     NONE_RUNS = "none-runs"
 
 
@@ -35,12 +35,12 @@
 class VersionChoice:
     """A choice between the version on trial and the old one.
 
-    :param version: the only version to use; empty for those that no trial holds back.
-    :param reason: what decided.
-    :param share: the share of sessions that the new version gets here.
-    :param trial_seconds: since the trial began, as this VM believes.
-    :param session_age: seconds since the session was last seen here; infinite where it
-        was not.
+    :param version: the only version to use; empty for any version that is not on trial.
+    :param reason: the reason for the choice.
+    :param share: the share of sessions that this VM assigns to the new version.
+    :param trial_seconds: the time since the trial began, by this VM's estimate.
+    :param session_age: the seconds since this VM last served the session; infinite if
+        it has not.
     """
 
     version: VersionName
--- a/walnutquay/state/trials/evidence.py
+++ b/walnutquay/state/trials/evidence.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What VMs have seen of a version on trial, and what it tells against the version."""
+"""Outcome counts from all VMs for a version on trial, and fault detection."""
 
 from __future__ import annotations
 
@@ -9,184 +9,203 @@
 
 from walnutquay.state.process.ids import HallName, VmProcess
 from walnutquay.state.trials.counts import (
-    BASE_FACTOR,
+    BASELINE_FACTOR,
     RECENT_DEVIATIONS,
     RECENT_SEEN,
     RECENT_SHARE,
     Measure,
     TrialCounts,
-    TrialTally,
-    condemned,
+    TrialOutcomeCounts,
     is_sluggish,
+    should_reject,
 )
-from walnutquay.state.trials.reports import AnswerCounts, TrialReport, summed
+from walnutquay.state.trials.reports import AnswerCounts, TrialReport, sum_routes
 
-# Stands for all VMs that were lost together.
-LOST = VmProcess("")
-# The share that a version which is trusted may have beyond the old one's.
+# The source under which the recovered counts of all lost VMs are stored.
+LOST_VMS = VmProcess("")
+# The bad share that a trusted version may have on top of the old version's, which is
+# first multiplied by BASELINE_FACTOR.
 TRUSTED_BAD_SHARE = {Measure.FAILED: 0.04, Measure.SLOW: 0.1}
 
 
 class Fault(Enum):
-    """What tells against a version."""
+    """A reason to reject a version."""
 
     FAILS = "too many answers fail"
     SLOW = "too many answers are slow"
     SLUGGISH = "more answers are sluggish than usual"
-    TURNS_SLOW = "of the latest answers more are sluggish than usual"
+    RECENTLY_SLUGGISH = "of the latest answers more are sluggish than usual"
 
 
 class TrialEvidence:
-    """The answers of a new version, as this VM and others have seen them."""
+    """The outcome counts of a new version, from this VM and the others."""
 
     def __init__(self) -> None:
-        # What this VM has seen of the new version, and of the old at that time.
-        self.own = TrialTally()
-        self.old = TrialTally()
-        # What other VMs have told of the new version; in large fleets those of this
-        # data hall, and of the other halls what all their VMs have seen together.
-        self.received: dict[VmProcess, TrialTally] = {}
-        self.received_by_hall: dict[HallName, TrialTally] = {}
-        # The same of the old version meanwhile, all routes together, and its sum.
-        self.old_told: dict[VmProcess, TrialTally] = {}
-        self.old_told_by_hall: dict[HallName, TrialTally] = {}
-        self.old_seen: TrialTally | None = None
-        # All of it together, with what it was made of; see :meth:`outcome_counts`.
-        self.all_seen: tuple[AnswerCounts, TrialTally] | None = None
-        # How many answers of the new version were sluggish as it was looked at: the
-        # first of these tells how many were before the latest ones.
-        self.sluggish: deque[TrialCounts] = deque()
-
-    def outcome_counts(self) -> TrialTally:
-        """Give what all VMs together have seen of the new version.
-
-        Each request asks for it, so it is put together only where something has come:
-        of 194 other VMs that took 3.5 ms each time.
+        # Counted by this VM: the new version, and the old one during the trial.
+        self.own = TrialOutcomeCounts()
+        self.old = TrialOutcomeCounts()
+        # The new version's counts received from other VMs.  In large fleets only the
+        # VMs of this data hall send their own; each other hall sends combined counts.
+        self.received: dict[VmProcess, TrialOutcomeCounts] = {}
+        self.received_by_hall: dict[HallName, TrialOutcomeCounts] = {}
+        # The same for the old version during the trial, summed over routes, and their
+        # combination, which is cached.
+        self.old_received: dict[VmProcess, TrialOutcomeCounts] = {}
+        self.old_received_by_hall: dict[HallName, TrialOutcomeCounts] = {}
+        self.old_combined: TrialOutcomeCounts | None = None
+        # The cached combination of the new version's counts, with the own counts that
+        # went into it; see :meth:`outcome_counts`.
+        self.combined: tuple[AnswerCounts, TrialOutcomeCounts] | None = None
+        # The new version's sluggish counts at successive evaluations.  The first entry
+        # is the count before the latest answers.
+        self.sluggish_history: deque[TrialCounts] = deque()
+
+    def outcome_counts(self) -> TrialOutcomeCounts:
+        """Return the new version's combined counts from all VMs.
+
+        The result is cached until counts change, as it is needed for each request:
+        combining the counts of 194 other VMs took 3.5 ms each time.
         """
         own = self.own.frozen()
-        if self.all_seen is not None and self.all_seen[0] == own:
-            return self.all_seen[1]
-        told = [*self.received.values(), *self.received_by_hall.values()]
-        seen = self.own.merged(told)
-        self.all_seen = (own, seen)
+        if self.combined is not None and self.combined[0] == own:
+            return self.combined[1]
+        others = [*self.received.values(), *self.received_by_hall.values()]
+        seen = self.own.merged(others)
+        self.combined = (own, seen)
         return seen
 
     def old_total(self, measure: Measure) -> TrialCounts:
-        """Give what all VMs have seen of the old version since the trial began.
+        """Return the old version's counts from all VMs since the trial began.
 
-        One VM alone has seen few of its answers: of 20, with one in five sluggish, a
-        tenth of VMs sees one or none, and takes what is usual for a slow version.
+        One VM alone sees too few of them.  If one in five answers is sluggish, a tenth
+        of VMs sees at most one sluggish answer among 20, and would mistake the normal
+        share for a slow version.
 
-        :param measure: what answers are judged by.
+        :param measure: the measure to sum over all routes.
         """
-        if self.old_seen is None:
-            told = [*self.old_told.values(), *self.old_told_by_hall.values()]
-            self.old_seen = TrialTally().merged(told)
-        return self.old.total(measure) + self.old_seen.total(measure)
+        if self.old_combined is None:
+            others = [*self.old_received.values(), *self.old_received_by_hall.values()]
+            self.old_combined = TrialOutcomeCounts().merged(others)
+        return self.old.total(measure) + self.old_combined.total(measure)
 
-    def hear_counts(self, vm: VmProcess, report: TrialReport) -> None:
-        """Take in what another VM has seen, in place of what it told before.
+    def receive_counts(self, vm: VmProcess, report: TrialReport) -> None:
+        """Replace the counts of another VM by those of its latest report.
 
-        :param vm: its process: what an earlier one has seen there is still true.
-        :param report: what it tells.
+        :param vm: the VM's process.  Counts of an earlier process on the same VM are
+            kept, as they are still valid.
+        :param report: the report.
         """
         self.received[vm] = report.outcome_counts()
-        self.old_told[vm] = report.old_tally()
-        self.all_seen = self.old_seen = None
+        self.old_received[vm] = report.old_outcome_counts()
+        self.combined = self.old_combined = None
 
-    def hear_counts_of_hall(self, hall: HallName, report: TrialReport) -> None:
-        """Take in what the VMs of another data hall have seen.
+    def receive_hall_counts(self, hall: HallName, report: TrialReport) -> None:
+        """Replace the combined counts of another data hall by those of a report.
 
         :param hall: the hall.
-        :param report: what is told, in place of what was told of it before.
+        :param report: the report for all its VMs.
         """
         self.received_by_hall[hall] = report.outcome_counts()
-        self.old_told_by_hall[hall] = report.old_tally()
-        self.all_seen = self.old_seen = None
-
-    def old_of_hall(self) -> AnswerCounts:
-        """:returns: what the VMs of this data hall have seen of the old version."""
-        told = [
-            outcome_counts for vm, outcome_counts in self.old_told.items() if vm != LOST
+        self.old_received_by_hall[hall] = report.old_outcome_counts()
+        self.combined = self.old_combined = None
+
+    def old_seen_in_hall(self) -> AnswerCounts:
+        """Return the old version's counts from the VMs of this data hall."""
+        others = [
+            outcome_counts
+            for vm, outcome_counts in self.old_received.items()
+            if vm != LOST_VMS
         ]
-        return summed(self.old.merged(told))
+        return sum_routes(self.old.merged(others))
 
     def fault(self) -> Fault | None:
-        """:returns: what tells against the version; None if nothing does."""
+        """Return the reason to reject the version, or None."""
         outcome_counts = self.outcome_counts()
-        if self._fails(outcome_counts):
+        if self._fails_too_often(outcome_counts):
             return Fault.FAILS
-        return self._slowness(outcome_counts)
+        return self._slowness_fault(outcome_counts)
 
-    def _fails(self, outcome_counts: TrialTally) -> bool:
-        """Whether too many answers fail, on all routes or on one."""
+    def _fails_too_often(self, outcome_counts: TrialOutcomeCounts) -> bool:
+        """Return whether too many answers fail, on all routes together or on one."""
         failed = Measure.FAILED
-        if condemned(failed, outcome_counts.total(failed), self.old_total(failed)):
+        if should_reject(failed, outcome_counts.total(failed), self.old_total(failed)):
             return True
         return any(
-            condemned(failed, counts, self.old.of(subject))
+            should_reject(failed, counts, self.old.counts_for(subject))
             for subject, counts in outcome_counts.by_subject.items()
             if subject[0] is failed
         )
 
-    def _slowness(self, outcome_counts: TrialTally) -> Fault | None:
-        """Tell whether too many answers are slow, or more are sluggish than usual.
+    def _slowness_fault(self, outcome_counts: TrialOutcomeCounts) -> Fault | None:
+        """Return the fault if too many answers are slow or sluggish.
 
-        Of one route alone a few are slow by chance, as engines have little cached
-        when a version is new: judged by it, good versions were taken back.
+        Routes are not evaluated separately.  Engines of a new version have little
+        cached, so a few answers of a single route are slow by chance; evaluating
+        single routes withdrew good versions.
         """
         slow = Measure.SLOW
-        if condemned(slow, outcome_counts.total(slow), self.old_total(slow)):
+        if should_reject(slow, outcome_counts.total(slow), self.old_total(slow)):
             return Fault.SLOW
         sluggish = outcome_counts.total(Measure.SLUGGISH)
         old = self.old_total(Measure.SLUGGISH)
         if is_sluggish(sluggish, old):
             return Fault.SLUGGISH
-        return Fault.TURNS_SLOW if self._turns_slow(sluggish, old) else None
+        return (
+            Fault.RECENTLY_SLUGGISH
+            if self._is_recently_sluggish(sluggish, old)
+            else None
+        )
 
-    def _turns_slow(self, sluggish: TrialCounts, old: TrialCounts) -> bool:
-        """Whether too many of the latest answers are sluggish.
+    def _is_recently_sluggish(self, sluggish: TrialCounts, old: TrialCounts) -> bool:
+        """Return whether too many of the latest answers are sluggish.
 
-        All together hide it where a version is slow only under load.
+        The total hides this if a version is slow only under load.
         """
-        if not self.sluggish:
+        if not self.sluggish_history:
             return False
-        latest = sluggish.since(self.sluggish[0])
+        latest = sluggish.since(self.sluggish_history[0])
         enough = max(RECENT_SEEN, RECENT_SHARE * sluggish.seen)
         return latest.seen >= enough and is_sluggish(latest, old, RECENT_DEVIATIONS)
 
-    def note_sluggish(self) -> None:
-        """Note how many answers were sluggish until now."""
+    def record_sluggish(self) -> None:
+        """Record the sluggish counts, from which the latest answers are derived."""
         now = self.outcome_counts().total(Measure.SLUGGISH)
-        if self.sluggish and now.seen < self.sluggish[-1].seen:
-            # A VM that had told of some has told anew since.
-            self.sluggish.clear()
-        if not self.sluggish or now.seen > self.sluggish[-1].seen:
-            self.sluggish.append(now)
+        if self.sluggish_history and now.seen < self.sluggish_history[-1].seen:
+            # A VM has replaced earlier counts by smaller ones.
+            self.sluggish_history.clear()
+        if not self.sluggish_history or now.seen > self.sluggish_history[-1].seen:
+            self.sluggish_history.append(now)
         latest = max(RECENT_SEEN, RECENT_SHARE * now.seen)
-        while len(self.sluggish) > 1 and now.seen - self.sluggish[1].seen >= latest:
-            self.sluggish.popleft()
-
-    def is_harmless(self, outcome_counts: TrialTally, measure: Measure) -> bool:
-        """Whether there are hardly more bad answers than the old version gives."""
-        usual = BASE_FACTOR * self.old_total(measure).bad_share
+        while (
+            len(self.sluggish_history) > 1
+            and now.seen - self.sluggish_history[1].seen >= latest
+        ):
+            self.sluggish_history.popleft()
+
+    def is_acceptable(
+        self, outcome_counts: TrialOutcomeCounts, measure: Measure
+    ) -> bool:
+        """Return whether the bad share hardly exceeds the old version's."""
+        baseline = BASELINE_FACTOR * self.old_total(measure).bad_share
         return (
             outcome_counts.total(measure).bad_share
-            <= TRUSTED_BAD_SHARE[measure] + usual
+            <= TRUSTED_BAD_SHARE[measure] + baseline
         )
 
-    def begin_anew(self) -> None:
-        """Count only what is seen from now on."""
-        self.own = TrialTally()
+    def reset_counts(self) -> None:
+        """Reset the new version's counts."""
+        self.own = TrialOutcomeCounts()
         self.received.clear()
         self.received_by_hall.clear()
-        self.all_seen = None
-        self.sluggish.clear()
-
-    def seen_in_hall(self) -> TrialTally:
-        """:returns: what the VMs of this data hall have seen together."""
-        # What was kept of lost VMs is not this hall's.
-        told = [
-            outcome_counts for vm, outcome_counts in self.received.items() if vm != LOST
+        self.combined = None
+        self.sluggish_history.clear()
+
+    def seen_in_hall(self) -> TrialOutcomeCounts:
+        """Return the new version's combined counts from the VMs of this data hall."""
+        # The recovered counts of lost VMs do not belong to this hall alone.
+        others = [
+            outcome_counts
+            for vm, outcome_counts in self.received.items()
+            if vm != LOST_VMS
         ]
-        return self.own.merged(told)
+        return self.own.merged(others)
--- a/walnutquay/state/trials/kept.py
+++ b/walnutquay/state/trials/kept.py
@@ -1,65 +1,70 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Sessions that stay on the old version though they fall to the one on trial."""
+"""Sessions that stay on the old version although their hash selects the new one."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-# Sessions that one VM tells the others of: their numbers fill half of a datagram.  At
-# the largest size a VM keeps some 30.
+# The most sessions that one VM announces; their hashes fill half of a datagram.  A VM
+# of the largest size keeps some 30.
 MAX_OWN = 4_000
-# The same of all other VMs together: 100 bytes each, as measured by tracemalloc.
-MAX_HEARD = 50_000
+# The most sessions received from all other VMs; each takes 100 bytes by tracemalloc.
+MAX_RECEIVED = 50_000
 
 
 class KeptSessions:
-    """The numbers of sessions that all VMs leave on the old version.
+    """The hashes of sessions that all VMs leave on the old version.
 
-    A session's number tells whether it falls to the new version, see
-    :func:`walnutquay.state.trials.trial.session_hash`.
+    A session's hash decides whether it is assigned to the new version; see
+    :func:`walnutquay.state.trials.hashing.session_hash`.
     """
 
     def __init__(self) -> None:
-        # Kept by this VM, and since when; monotonic seconds.
+        # Sessions kept by this VM, with the time from which; monotonic seconds.
         self.own: dict[int, float] = {}
-        # Kept by others, and when that was heard first.
+        # Sessions kept by other VMs, with the time when this was first received.
         self.received: dict[int, float] = {}
 
-    def keep(self, number: int, now: float) -> bool:
+    def keep(self, session_hash: int, now: float) -> bool:
         """Keep a session that this VM has sent to the old version.
 
-        :param number: the session's number.
+        :param session_hash: the session's hash.
         :param now: monotonic seconds.
-        :returns: whether the others do not know it yet.
+        :returns: whether the session is newly kept and has to be announced.
         """
-        if number in self.own or number in self.received or len(self.own) >= MAX_OWN:
+        if (
+            session_hash in self.own
+            or session_hash in self.received
+            or len(self.own) >= MAX_OWN
+        ):
             return False
-        self.own[number] = now
+        self.own[session_hash] = now
         return True
 
-    def receive(self, numbers: Iterable[int], now: float) -> int:
-        """Take in what another VM keeps.
+    def receive(self, session_hashes: Iterable[int], now: float) -> int:
+        """Add the sessions that another VM keeps.
 
-        :param numbers: the sessions' numbers.
+        :param session_hashes: the sessions' hashes.
         :param now: monotonic seconds.
-        :returns: how many of them were not known.
+        :returns: the number of sessions added.
         """
         before = len(self.received)
-        for number in numbers:
-            if len(self.received) >= MAX_HEARD:
+        for session_hash in session_hashes:
+            if len(self.received) >= MAX_RECEIVED:
                 break
-            if number not in self.own:
-                self.received.setdefault(number, now)
+            if session_hash not in self.own:
+                self.received.setdefault(session_hash, now)
         return len(self.received) - before
 
-    def since(self, number: int) -> float | None:
-        """:param number: a session's number.
+    def since(self, session_hash: int) -> float | None:
+        """Return the time from which this VM has known that a session is kept.
 
-        :returns: since when this VM knows that it is kept; None where it is not.
+        :param session_hash: the session's hash.
+        :returns: monotonic seconds; None if the session is not kept.
         """
-        return self.own.get(number, self.received.get(number))
+        return self.own.get(session_hash, self.received.get(session_hash))
 
     def all(self) -> tuple[int, ...]:
-        """:returns: the numbers of all sessions that are known to be kept."""
+        """Return the hashes of all sessions that are known to be kept."""
         return (*self.own, *self.received)
--- a/walnutquay/state/trials/notes.py
+++ b/walnutquay/state/trials/notes.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Which version served each session last, as one VM has seen it."""
+"""Records of the version that last served each session of one VM."""
 
 from __future__ import annotations
 
@@ -11,24 +11,25 @@
 from walnutquay.state.process.counts import LatestTable
 from walnutquay.state.process.ids import ServiceName, VersionName
 
-# Callers name their sessions, so their number is bounded.  A VM at the largest size
-# serves some 60 requests a second, so this is a matter of minutes.
+# The most sessions that are recorded; there has to be a limit, as callers choose the
+# names.  A VM of the largest size serves some 60 requests a second, so the table covers
+# several minutes.
 MAX_SESSIONS = 20_000
 
-# The version of a session that has not been served.
+# The version in the record of a session that has not been served.
 NOT_SERVED = VersionName("")
 
-# A session may use several services, each with versions of its own.
+# The service is part of the key: a session may use several, each with its own versions.
 SessionKey = tuple[ServiceName, str]
 
 
 @dataclass(slots=True)
 class SessionNote:
-    """Where a session was served last.
+    """The version that served a session last.
 
     :param version: the version.
-    :param at: when its last request began or ended; monotonic seconds.
-    :param running: requests of it that are under way.
+    :param at: when the last request began or ended; monotonic seconds.
+    :param running: the number of requests in progress.
     """
 
     version: VersionName = NOT_SERVED
@@ -36,22 +37,23 @@
     running: int = 0
 
     def age(self, now: float) -> float:
-        """:param now: monotonic seconds.
+        """Return the time since the session was last in use.
 
-        :returns: seconds since its last request ended; 0 while one is under way, for
-            a stream may last longer than sessions are kept.
+        :param now: monotonic seconds.
+        :returns: the seconds since its last request ended; 0 while one is in progress,
+            as a stream may last longer than a session is kept.
         """
         return 0.0 if self.running else now - self.at
 
 
 @dataclass(frozen=True, slots=True)
 class SeenSession:
-    """What one VM tells another of a session.
+    """A session record as sent from one VM to another.
 
     :param service: the service that the session uses.
     :param session: the session.
     :param version: the version that served it last.
-    :param age: seconds since its last request ended.
+    :param age: the seconds since its last request ended.
     """
 
     service: ServiceName
@@ -61,9 +63,9 @@
 
 
 class SessionNotes:
-    """The sessions that one VM has served.
+    """The records of the sessions that one VM has served.
 
-    :param keep_seconds: a session is over so long after its last request.
+    :param keep_seconds: the time after its last request at which a session expires.
     """
 
     def __init__(self, keep_seconds: float) -> None:
@@ -75,11 +77,12 @@
     def find(
         self, service: ServiceName, session: str, now: float
     ) -> SessionNote | None:
-        """:param service: a service.
+        """Find the record of a session.
 
-        :param session: a session; empty for none.
+        :param service: the service.
+        :param session: the session; empty for none.
         :param now: monotonic seconds.
-        :returns: what is noted of it, unless it is over.
+        :returns: the record; None if there is none or the session has expired.
         """
         note = self.table.get((service, session)) if session else None
         if note is None or note.age(now) >= self.keep_seconds:
@@ -89,7 +92,7 @@
     def began(
         self, service: ServiceName, session: str, version: VersionName, now: float
     ) -> None:
-        """Note that a request was sent.
+        """Record that a request was sent.
 
         :param service: the service.
         :param session: its session.
@@ -102,7 +105,7 @@
         note.running += 1
 
     def ended(self, service: ServiceName, session: str, now: float) -> None:
-        """Note that a request is over, however it ended.
+        """Record that a request ended, for whatever reason.
 
         :param service: the service.
         :param session: its session.
@@ -112,15 +115,16 @@
         if note is None:
             return
         note.at = now
-        # A note that gave way to newer ones may have been made anew since.
+        # The record may have been evicted and created again while the request ran, so
+        # the count may not include the request.
         note.running = max(0, note.running - 1)
 
     def apply(self, seen: SeenSession, now: float) -> bool:
-        """Take over what another VM has seen, unless this one has seen more.
+        """Apply a record from another VM, unless this VM's own is more recent.
 
-        :param seen: a session.
+        :param seen: the session record.
         :param now: monotonic seconds.
-        :returns: whether it was taken over.
+        :returns: whether it was applied.
         """
         note = self.table.touch((seen.service, seen.session))
         at = now - seen.age
@@ -131,7 +135,7 @@
         return True
 
     def recent(self, now: float) -> Iterator[SeenSession]:
-        """Yield the sessions that are not over.
+        """Yield the sessions that have not expired.
 
         :param now: monotonic seconds.
         """
--- a/walnutquay/state/trials/reports.py
+++ b/walnutquay/state/trials/reports.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What VMs tell each other of a version on trial."""
+"""Reports about a version on trial, as exchanged between VMs."""
 
 from __future__ import annotations
 
@@ -9,39 +9,46 @@
 
 from walnutquay.state.process.ids import RouteName, VersionName
 from walnutquay.state.trials.baseline import BaselineTime
-from walnutquay.state.trials.counts import Measure, Subject, TrialCounts, TrialTally
+from walnutquay.state.trials.counts import (
+    Measure,
+    Subject,
+    TrialCounts,
+    TrialOutcomeCounts,
+)
 
 
 class Verdict(Enum):
-    """What is thought of a version on trial."""
+    """The result of evaluating a version on trial."""
 
     UNSURE = "unsure"
     GOOD = "good"
     BAD = "bad"
 
 
-# Stands for all routes, where counts are told of them together.
+# The route name of counts that are summed over all routes.
 ALL_ROUTES = RouteName("")
-# Answers of a version that some VMs have seen, as they stood at one moment.
+# An immutable copy of the outcome counts of a version.
 AnswerCounts = tuple[tuple[Subject, TrialCounts], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class TrialReport:
-    """What one VM tells the others of a version on trial.
+    """The state of a trial that one VM sends to the others.
 
-    :param order: the order's name.
+    :param order: the name of the roll-out order.
     :param version: the new version.
-    :param counts: what it has seen, by measure and route.
-    :param kept: numbers of sessions that stay on the old version.
-    :param verdict: good or bad where that is decided for good, else unsure.
-    :param elapsed: seconds since a VM saw the order first; None where the sender has
-        this from the time of day only, which may differ between VMs.
-    :param opens_in: seconds until the sender gives the new version its first sessions
-        at the earliest; 0 where it does already.
-    :param usual: how long answers of the old version take, by what it has seen.
-    :param old: what it has seen of the old version meanwhile, all routes together.
-    :param seen: how many answers of the new version it knows of, of all VMs.
+    :param counts: the sender's outcome counts of the new version by measure and route.
+    :param kept: the hashes of sessions that stay on the old version.
+    :param verdict: GOOD or BAD if the sender has acted on that verdict, else UNSURE.
+    :param elapsed: the seconds since the first VM received the order; None if the
+        sender derived this from the time of day, which may differ between VMs.
+    :param opens_in: the least number of seconds until the sender assigns the first
+        sessions to the new version; 0 if it does so already.
+    :param usual: the sender's measured answer times of the old version.
+    :param old: the sender's outcome counts of the old version during the trial, summed
+        over routes.
+    :param seen: the number of answers of the new version that the sender knows of,
+        from all VMs.
     """
 
     order: str
@@ -55,25 +62,26 @@
     seen: int = 0
     old: AnswerCounts = ()
 
-    def outcome_counts(self) -> TrialTally:
-        """:returns: its counts of the new version."""
-        return _tally(self.counts)
+    def outcome_counts(self) -> TrialOutcomeCounts:
+        """Return the report's counts of the new version."""
+        return _to_outcome_counts(self.counts)
 
-    def old_tally(self) -> TrialTally:
-        """:returns: its counts of the old version."""
-        return _tally(self.old)
+    def old_outcome_counts(self) -> TrialOutcomeCounts:
+        """Return the report's counts of the old version."""
+        return _to_outcome_counts(self.old)
 
 
-def _tally(counts: AnswerCounts) -> TrialTally:
-    found = TrialTally()
+def _to_outcome_counts(counts: AnswerCounts) -> TrialOutcomeCounts:
+    found = TrialOutcomeCounts()
     found.by_subject.update(counts)
     return found
 
 
-def summed(outcome_counts: TrialTally) -> AnswerCounts:
-    """:param outcome_counts: counts of answers.
+def sum_routes(outcome_counts: TrialOutcomeCounts) -> AnswerCounts:
+    """Sum outcome counts over all routes, and leave out the endpoints.
 
-    :returns: those of all routes together, without the endpoints.
+    :param outcome_counts: the counts by measure and route.
+    :returns: the sums by measure.
     """
     totals = ((measure, outcome_counts.total(measure)) for measure in Measure)
     return tuple(
--- a/walnutquay/state/trials/settled.py
+++ b/walnutquay/state/trials/settled.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Which versions of a service requests may use that no trial has chosen for."""
+"""The versions that a service's requests may use if no trial chooses for them."""
 
 from __future__ import annotations
 
@@ -13,21 +13,27 @@
 
 
 class SettledVersions:
-    """The versions that are settled: by orders that have ended, or by running first."""
+    """Versions that are in use or withdrawn, by earlier orders or by running first."""
 
     def __init__(self) -> None:
-        # Versions that orders have made the ones to use, or have taken back.
+        # Versions that orders have put in use, and versions that they have withdrawn.
         self.done: dict[ServiceName, VersionName] = {}
         self.withdrawn: dict[ServiceName, set[VersionName]] = {}
-        # Versions that ran before any order was known.
+        # Versions that ran before this VM learned of any order.
         self.established: dict[ServiceName, Versions] = {}
 
     def begun(self, order: RolloutOrder) -> None:
-        """:param order: an order whose trial begins, maybe of a version taken back."""
+        """Stop treating a version as withdrawn, as a new trial of it begins.
+
+        :param order: the order whose trial begins.
+        """
         self.withdrawn.get(order.service, set()).discard(order.version)
 
     def ended(self, order: RolloutOrder) -> None:
-        """:param order: an order that has ended."""
+        """Record the result of an order.
+
+        :param order: an order that has ended.
+        """
         if order.state is OrderState.DONE:
             self.done[order.service] = order.version
             self.withdrawn.pop(order.service, None)
@@ -41,11 +47,12 @@
         first: Versions,
         on_trial: VersionName | None,
     ) -> frozenset[VersionName] | None:
-        """:param service: a service.
+        """Return the versions that requests may use.
 
+        :param service: the service.
         :param running: the versions of its endpoints.
-        :param first: those that ran when endpoints were first listed.
-        :param on_trial: the version that is on trial; None where none is.
+        :param first: the versions that ran when endpoints were first listed.
+        :param on_trial: the version on trial; None if there is no trial.
         :returns: the versions that may be used; None for all.
         """
         blocked = set(self.withdrawn.get(service, ()))
@@ -57,17 +64,18 @@
         done = self.done.get(service)
         if done in running:
             return frozenset((done,))
-        # A version that nobody has ordered waits for its order.
+        # A version without an order is not used until its order arrives.
         left = (running & known) - blocked
         return frozenset(left) if left else None
 
     def _established(
         self, service: ServiceName, first: Versions, blocked: Versions
     ) -> Versions:
-        """Give the versions that ran before this VM knew of any order.
+        """Return the versions that ran before this VM learned of any order.
 
-        Those of the first list, not of the first request: meanwhile endpoints of a
-        version may have been listed whose order is not known here yet.
+        They are taken from the first list of endpoints, not from the list at the first
+        request: by then it may include a version whose order has not yet reached this
+        VM.
         """
         known = self.established.get(service)
         if not known:
--- a/walnutquay/state/trials/trial.py
+++ b/walnutquay/state/trials/trial.py
@@ -1,10 +1,10 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""A new version on trial: who gets it, and whether it is good.
+"""The trial of a new version: session assignment and verdict.
 
-In the first half of its time a new version gets few sessions, all of them new
-ones, so that a bad one harms few callers.  In the second half, if it is found
-good, it gets more and more and at last all; sessions only ever move towards it.
+In the first half of the trial the new version gets few sessions, and only new ones, so
+that a bad version affects few callers.  In the second half, if the verdict is good, its
+share grows until it gets all sessions.  Sessions only ever move to the new version.
 """
 
 from __future__ import annotations
@@ -14,41 +14,45 @@
 from walnutquay.state.process.ids import HallName, VmProcess
 from walnutquay.state.store.orders import RolloutOrder
 from walnutquay.state.trials.counts import Measure
-from walnutquay.state.trials.evidence import LOST, TrialEvidence
-from walnutquay.state.trials.hashing import HASH_SPAN, session_hash
+from walnutquay.state.trials.evidence import LOST_VMS, TrialEvidence
+from walnutquay.state.trials.hashing import HASH_RANGE, session_hash
 from walnutquay.state.trials.kept import KeptSessions
-from walnutquay.state.trials.reports import TrialReport, Verdict, summed
+from walnutquay.state.trials.reports import TrialReport, Verdict, sum_routes
 
-# The share of new sessions in the first half, of what a bad version may get.  The
-# rest is left for the time in which it turns bad and is found out.
+# The share of new sessions in the first half, as a part of the limit for a bad version.
+# The rest is reserved for the time between a version turning bad and its detection.
 FIRST_SHARE_OF_LIMIT = 0.65
-# When the second half begins to move sessions, as a part of the trial's time.
-# The platform counts a move to the new version as one too early up to the half.
+# The part of the trial's time after which the second half begins to move sessions.  It
+# exceeds 0.5 because the platform counts a move before the half as too early.
 RAMP_START = 0.53
-# When all sessions have been moved.
+# The part of the time after which all sessions have been moved.
 RAMP_END = 0.72
-# When the order may be called done: old streams have ended by then.
+# The part of the time after which the order may be marked as done.  Streams of the old
+# version have ended by then.
 DONE_AT = 0.84
-# A version of which so little is known by then is taken for what it seems.
+# The part of the time after which a version whose verdict is still UNSURE is treated as
+# good, or as bad if it has DOUBTFUL_BAD bad answers.
 UNSURE_UNTIL = 0.7
-# Bad answers that keep a version in doubt.
+# The number of bad answers from which an undecided version is doubtful.
 DOUBTFUL_BAD = 2
-# Good answers after which a version with hardly any bad ones is trusted.
+# The number of good answers after which a version with hardly any bad ones is trusted.
 MIN_GOOD = 8
-# Stands for a trial that may open at any moment; seconds.
+# The reported time for a trial that may open at any moment, as 0 means that it is
+# open; seconds.
 MIN_OPENS_IN = 0.001
-# What a version has to have little of to be trusted.
-TRUSTED_BY = (Measure.FAILED, Measure.SLOW)
+# The measures by which a version has to have few bad answers to be trusted.
+TRUST_MEASURES = (Measure.FAILED, Measure.SLOW)
 
 
 class Trial(TrialEvidence):
-    """One order to bring in a version, as one VM sees it.
+    """The state of one roll-out order's trial on one VM.
 
     :param order: the order.
-    :param started: when it began; monotonic seconds, as the time of day may jump.
+    :param started: when the trial began; monotonic seconds, as the time of day may
+        jump.
     :param share_limit: the share of requests that a bad version may get.
-    :param start_observed: whether this VM saw the order before any had noted its
-        beginning.
+    :param start_observed: whether this VM received the order before its start had been
+        recorded.
     """
 
     def __init__(
@@ -63,59 +67,60 @@
         self.started = started
         self.share_limit = share_limit
         self.start_observed = start_observed
-        # Whether the new version gets sessions, and when it may at the earliest;
-        # monotonic seconds.  Until then VMs learn of the order and of its endpoints,
-        # and tell each other which sessions are kept.
+        # Whether the new version gets sessions, and the earliest time at which it may;
+        # monotonic seconds.  Until then VMs learn of the order and its endpoints, and
+        # announce to each other the sessions that they keep.
         self.open = False
         self.opens_at = float("-inf")
         self.kept = KeptSessions()
-        # Set when the first half has shown the version to be good; from then on
-        # only answers under more load count.
+        # Set once the first half has shown the version to be good.  From then on only
+        # answers under higher load count.
         self.trusted = False
-        # Set when the version was found bad here: it is final.
+        # Set once the version is found to be bad.  This is final.
         self.rejected = False
 
     def progress(self, now: float) -> float:
-        """:param now: monotonic seconds.
+        """Return the part of the trial's time that has passed.
 
-        :returns: the part of the trial's time that is over.
+        :param now: monotonic seconds.
         """
         return max(0.0, now - self.started) / max(1.0, self.order.seconds)
 
     def receive(self, vm: VmProcess, report: TrialReport, now: float) -> None:
-        """Take in what another VM has seen and decided.
+        """Apply a report from another VM.
 
-        :param vm: its process: what an earlier one has seen there is still true.
-        :param report: its counts stand in place of those that it told before.
+        :param vm: the VM's process.  Counts of an earlier process on the same VM are
+            kept, as they are still valid.
+        :param report: the report; its counts replace the previous ones.
         :param now: monotonic seconds.
         """
-        self.hear_counts(vm, report)
+        self.receive_counts(vm, report)
         self.receive_decisions(report, now)
 
     def receive_from_hall(
         self, hall: HallName, report: TrialReport, now: float
     ) -> bool:
-        """Take in what the VMs of another data hall have seen and decided.
+        """Apply a report for all VMs of another data hall.
 
         :param hall: the hall.
-        :param report: its counts stand in place of those that were told of it before.
+        :param report: the report; its counts replace the previous ones.
         :param now: monotonic seconds.
-        :returns: whether there was anything new.
+        :returns: whether the counts or a decision changed.
         """
         before = self.received_by_hall.get(hall)
-        self.hear_counts_of_hall(hall, report)
-        told = self.received_by_hall[hall]
+        self.receive_hall_counts(hall, report)
+        received = self.received_by_hall[hall]
         decided = self.rejected, self.trusted
         self.receive_decisions(report, now)
         if decided != (self.rejected, self.trusted):
             return True
-        return before is None or before.by_subject != told.by_subject
+        return before is None or before.by_subject != received.by_subject
 
     def join(self, report: TrialReport, now: float) -> None:
-        """Take over where the trial stands from a VM that was asked.
+        """Adopt the state of the trial from a VM's response to a request for it.
 
-        :param report: all that it knows; its counts are left out, as they come again
-            with its news.
+        :param report: the VM's full report.  Its counts are ignored, as they follow
+            with its updates.
         :param now: monotonic seconds.
         """
         self.opens_at = now + report.opens_in
@@ -123,51 +128,56 @@
         self.receive_decisions(report, now)
 
     def receive_decisions(self, report: TrialReport, now: float) -> None:
-        """Take over what another VM has decided for all: sessions must not go back.
+        """Adopt what another VM has decided, so that no sessions move back.
 
-        :param report: what it tells; its counts are left out.
+        :param report: the report; its counts are ignored.
         :param now: monotonic seconds.
         """
         self.kept.receive(report.kept, now)
         if report.elapsed is not None:
-            self._take_start(now - report.elapsed)
+            self._adopt_start(now - report.elapsed)
         if report.verdict is Verdict.BAD:
             self.rejected = True
         elif report.verdict is Verdict.GOOD:
-            self._follow(now)
+            self._adopt_good_verdict(now)
 
-    def _follow(self, now: float) -> None:
-        """Take over that another VM has found the version good.
+    def _adopt_good_verdict(self, now: float) -> None:
+        """Adopt another VM's verdict that the version is good.
 
-        One that doubts it for bad answers of its own would give it the first share
-        while all others give it more, and have sessions go back.  It keeps its counts,
-        which still tell against the version.
+        A VM that is unsure because of bad answers that it has seen itself would keep
+        the first share while all others use a larger one, so sessions would move back.
+        It adopts the verdict as well, but keeps its own counts, so that its bad answers
+        still count against the version.
         """
         if self.verdict() is Verdict.BAD:
             return
-        own = None if self._knows_little() else self.own
+        own = None if self._lacks_answers() else self.own
         self._trust(now)
         if own is not None and self.trusted:
             self.own = own
 
-    def _take_start(self, started: float) -> None:
-        """Count from when the first VM saw the order; news are late, never early."""
+    def _adopt_start(self, started: float) -> None:
+        """Adopt the time at which the first VM received the order.
+
+        It replaces a start that was derived from the time of day.  Of two observed
+        starts the earlier one applies, as updates can be late but never early.
+        """
         if self.start_observed:
             started = min(started, self.started)
         self.started = started
         self.start_observed = True
 
-    def _knows_little(self) -> bool:
-        """Whether this VM is unsure for want of answers only, not for bad ones."""
+    def _lacks_answers(self) -> bool:
+        """Return whether the verdict is unsure only because there are few answers."""
         outcome_counts = self.outcome_counts()
-        bad = sum(outcome_counts.total(measure).bad for measure in TRUSTED_BY)
+        bad = sum(outcome_counts.total(measure).bad for measure in TRUST_MEASURES)
         return not bad and outcome_counts.total(Measure.FAILED).good < MIN_GOOD
 
     def report(self, now: float, whole: bool = False) -> TrialReport:
-        """:param now: monotonic seconds.
+        """Return the report to send to other VMs.
 
-        :param whole: whether to tell of the sessions that other VMs keep, too.
-        :returns: what to tell the other VMs.
+        :param now: monotonic seconds.
+        :param whole: whether to include the sessions that other VMs keep.
         """
         kept = self.kept.all() if whole else tuple(self.kept.own)
         return TrialReport(
@@ -175,45 +185,45 @@
             self.order.version,
             self.own.frozen(),
             () if self.may_move_sessions(now) else kept,
-            self._acted_on(now),
+            self._effective_verdict(now),
             now - self.started if self.start_observed else None,
             self.opens_in(now),
             seen=self.outcome_counts().seen,
-            old=summed(self.old),
+            old=sum_routes(self.old),
         )
 
     def report_of_hall(self, now: float) -> TrialReport:
-        """:param now: monotonic seconds.
+        """Return the report on this data hall for the other halls.
 
-        :returns: what to tell other data halls of all VMs of this one.
+        :param now: monotonic seconds.
         """
         counts = self.seen_in_hall().frozen()
-        old = self.old_of_hall()
+        old = self.old_seen_in_hall()
         return replace(self.report(now), counts=counts, kept=(), old=old)
 
     def report_of_all(self, now: float) -> TrialReport:
-        """:param now: monotonic seconds.
+        """Return the report on all VMs, to be written to the store.
 
-        :returns: what all VMs have seen and decided, to be kept.
+        :param now: monotonic seconds.
         """
         return TrialReport(
             self.order.name,
             self.order.version,
             self.outcome_counts().frozen(),
-            verdict=self._acted_on(now),
+            verdict=self._effective_verdict(now),
         )
 
     def recover(self, report: TrialReport, now: float) -> None:
-        """Take in what was kept of VMs that are lost.
+        """Apply the stored state of VMs that were lost.
 
-        :param report: what they had seen and decided.
+        :param report: their combined counts and verdict.
         :param now: monotonic seconds.
         """
         self.receive_decisions(report, now)
-        self.hear_counts(LOST, report)
+        self.receive_counts(LOST_VMS, report)
 
-    def _acted_on(self, now: float) -> Verdict:
-        """Give the verdict by which this VM moves sessions already."""
+    def _effective_verdict(self, now: float) -> Verdict:
+        """Return the verdict on which this VM already acts when it assigns sessions."""
         if self.rejected:
             return Verdict.BAD
         if self.trusted or (self.ramping(now) and self.verdict() is Verdict.GOOD):
@@ -221,34 +231,35 @@
         return Verdict.UNSURE
 
     def opens_in(self, now: float) -> float:
-        """:param now: monotonic seconds.
+        """Return the time until the new version may get its first sessions.
 
-        :returns: seconds until the new version gets its first sessions, unless its
-            endpoints are not known yet; 0 only where it gets them already.
+        :param now: monotonic seconds.
+        :returns: seconds, although it takes longer if this VM does not know its
+            endpoints by then; 0 only if it gets sessions already.
         """
         return 0.0 if self.open else max(MIN_OPENS_IN, self.opens_at - now)
 
     # Sessions.
 
     def keep(self, session: str, now: float) -> bool:
-        """Leave a session on the old version, where the new one would be its.
+        """Keep a session on the old version if its hash selects the new one.
 
         :param session: a session that this VM has sent to the old version.
         :param now: monotonic seconds.
-        :returns: whether the other VMs have to be told.
+        :returns: whether this has to be announced to the other VMs.
         """
         if self.rejected or self.ramping(now):
             return False
-        number = session_hash(session, self.order.version)
-        return number / HASH_SPAN < self.first_share and self.kept.keep(number, now)
+        hashed = session_hash(session, self.order.version)
+        return hashed / HASH_RANGE < self.first_share and self.kept.keep(hashed, now)
 
     def must_stay_on_old(self, session: str, seen_on_new: float, now: float) -> bool:
-        """:param session: a session.
+        """Return whether a session has to stay on the old version.
 
-        :param seen_on_new: when this VM last saw it on the new version; minus infinity
-            where it has not.
+        :param session: the session.
+        :param seen_on_new: when this VM last saw the session on the new version;
+            minus infinity if it has not.
         :param now: monotonic seconds.
-        :returns: whether it has to stay on the old version.
         """
         if self.may_move_sessions(now):
             return False
@@ -256,7 +267,7 @@
         return since is not None and seen_on_new <= since
 
     def verdict(self) -> Verdict:
-        """:returns: what is thought of the version now."""
+        """Return the current verdict on the version."""
         if self.rejected:
             return Verdict.BAD
         if self.fault() is not None:
@@ -265,25 +276,26 @@
             return Verdict.GOOD
         outcome_counts = self.outcome_counts()
         trusted = all(
-            self.is_harmless(outcome_counts, measure) for measure in TRUSTED_BY
+            self.is_acceptable(outcome_counts, measure) for measure in TRUST_MEASURES
         )
         enough = outcome_counts.total(Measure.FAILED).good >= MIN_GOOD
         return Verdict.GOOD if trusted and enough else Verdict.UNSURE
 
     def advance(self, now: float) -> None:
-        """Begin the second half with new counts, if the first one was good.
+        """Reset the counts as the second half begins, if the verdict is good.
 
-        Some versions fail under load only: their good answers of the first half
-        would hide it.
+        Some versions fail only under load, which their good answers from the first half
+        would hide.
 
         :param now: monotonic seconds.
         """
         if self.progress(now) < RAMP_END:
-            self.note_sluggish()
+            self.record_sluggish()
         else:
-            # Its engines have all requests now, and the old version's had a part: good
-            # versions had 14 of 22 and 28 of 78 answers sluggish then for a while.
-            self.sluggish.clear()
+            # The new version's engines now serve all requests, those of the old version
+            # served a part, so times are not comparable.  Good versions temporarily had
+            # 14 of 22 and 28 of 78 answers sluggish at this point.
+            self.sluggish_history.clear()
         if self.trusted or not self.ramping(now):
             return
         if self.verdict() is Verdict.GOOD:
@@ -293,20 +305,21 @@
         if self.trusted or not self.ramping(now):
             return
         self.trusted = True
-        self.begin_anew()
+        self.reset_counts()
 
     def ramping(self, now: float) -> bool:
-        """:param now: monotonic seconds.
+        """Return whether the second half has begun.
 
-        :returns: whether the second half has begun.
+        :param now: monotonic seconds.
         """
         return self.progress(now) >= RAMP_START
 
     def is_bad(self, now: float) -> bool:
-        """Decide whether the version is to be taken back.
+        """Return whether the version has to be withdrawn.
 
-        One that is still in doubt late, for its bad answers and not for want of
-        answers, is taken back too: the other error would harm all callers.
+        This includes a version that is still doubtful late in its trial because of bad
+        answers, not for a lack of answers: accepting a bad version would affect all
+        callers.
 
         :param now: monotonic seconds.
         """
@@ -314,7 +327,9 @@
         if verdict is Verdict.BAD:
             return True
         late = self.progress(now) >= UNSURE_UNTIL
-        bad = sum(self.outcome_counts().total(measure).bad for measure in TRUSTED_BY)
+        bad = sum(
+            self.outcome_counts().total(measure).bad for measure in TRUST_MEASURES
+        )
         doubtful = bad >= DOUBTFUL_BAD
         return late and verdict is Verdict.UNSURE and doubtful
 
@@ -324,9 +339,9 @@
         return FIRST_SHARE_OF_LIMIT * self.share_limit
 
     def share(self, now: float) -> float:
-        """:param now: monotonic seconds.
+        """Return the share of sessions that the new version gets.
 
-        :returns: the share of sessions that the new version gets.
+        :param now: monotonic seconds.
         """
         if self.rejected:
             return 0.0
@@ -343,15 +358,15 @@
         return min(1.0, max(first, part))
 
     def may_move_sessions(self, now: float) -> bool:
-        """:param now: monotonic seconds.
+        """Return whether sessions of the old version may move to the new one.
 
-        :returns: whether sessions of the old version may move to the new one.
+        :param now: monotonic seconds.
         """
         return self.ramping(now)
 
     def ready_to_end(self, now: float) -> bool:
-        """:param now: monotonic seconds.
+        """Return whether the order is done, as far as this VM can tell.
 
-        :returns: whether the order is done, as far as this VM can tell.
+        :param now: monotonic seconds.
         """
         return self.share(now) >= 1.0 and self.progress(now) >= DONE_AT
