--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -126,10 +126,10 @@
     ),
     Mutation(
         "roll-outs: a session is in use while its stream lasts",
-        "state/trials/notes.py",
+        "state/trials/sessionrecords.py",
         "return 0.0 if self.running else now - self.at",
         "return now - self.at",
-        "tests.state.trials.test_sessionnotes",
+        "tests.state.trials.test_sessionrecords",
     ),
     Mutation(
         "ends of endpoints: a request that ends them is kept from the others",
--- a/tests/state/trials/test_sessionnotes.py
+++ b/tests/state/trials/test_sessionrecords.py
@@ -7,7 +7,7 @@
 import unittest
 
 from walnutquay.state.process.ids import ServiceName, VersionName
-from walnutquay.state.trials.notes import SeenSession, SessionNotes
+from walnutquay.state.trials.sessionrecords import SeenSession, SessionRecords
 
 KEEP_SECONDS = 6.0
 S = ServiceName("s")
@@ -19,7 +19,7 @@
     """A session expires some time after its last request has ended."""
 
     def setUp(self):
-        self.notes = SessionNotes(KEEP_SECONDS)
+        self.notes = SessionRecords(KEEP_SECONDS)
 
     def version(self, now: float, service: ServiceName = S) -> str | None:
         """Return the recorded version of the session; None if it has expired."""
--- a/tests/transport/test_peers.py
+++ b/tests/transport/test_peers.py
@@ -44,8 +44,8 @@
 from walnutquay.state.routed.gains import GainCounts, GainRow, ModelPair  # noqa: E402
 from walnutquay.state.trials.baseline import BaselineTime  # noqa: E402
 from walnutquay.state.trials.counts import Measure, TrialCounts  # noqa: E402
-from walnutquay.state.trials.notes import SeenSession  # noqa: E402
 from walnutquay.state.trials.reports import TrialReport, Verdict  # noqa: E402
+from walnutquay.state.trials.sessionrecords import SeenSession  # noqa: E402
 from walnutquay.transport.peers import PeerNode  # noqa: E402
 
 KEY = b"a-key-of-the-whole-fleet"
--- a/walnutquay/coordination/trials/sessions.py
+++ b/walnutquay/coordination/trials/sessions.py
@@ -15,7 +15,7 @@
 from walnutquay.protocol.messages import Envelope, SessionsSeen, SessionsTaken
 from walnutquay.state.process.ids import ServiceName, VersionName
 from walnutquay.state.store.instances import Instance
-from walnutquay.state.trials.notes import SessionNote, SessionNotes
+from walnutquay.state.trials.sessionrecords import SessionRecord, SessionRecords
 from walnutquay.state.trials.trial import Trial
 from walnutquay.transport.timers import monotonic
 
@@ -50,9 +50,9 @@
         self.tasks = tasks
         self.peers = peers
         self.tell = tell
-        self.notes = SessionNotes(session_seconds + MARGIN_SECONDS)
+        self.notes = SessionRecords(session_seconds + MARGIN_SECONDS)
 
-    def note_of(self, turn: RoutedTurn, now: float) -> SessionNote | None:
+    def note_of(self, turn: RoutedTurn, now: float) -> SessionRecord | None:
         """:param turn: a request.
 
         :param now: monotonic seconds.
--- a/walnutquay/coordination/trials/versions.py
+++ b/walnutquay/coordination/trials/versions.py
@@ -30,8 +30,8 @@
 from walnutquay.state.store.orders import OrderState, RolloutOrder
 from walnutquay.state.trials.choice import ChoiceReason, VersionChoice
 from walnutquay.state.trials.hashing import is_assigned_to_new
-from walnutquay.state.trials.notes import SessionNote
 from walnutquay.state.trials.reports import TrialReport
+from walnutquay.state.trials.sessionrecords import SessionRecord
 from walnutquay.state.trials.settled import SettledVersions
 from walnutquay.state.trials.trial import Trial
 from walnutquay.transport.timers import monotonic
@@ -236,7 +236,7 @@
         self,
         turn: RoutedTurn,
         task: TrialTask,
-        note: SessionNote | None,
+        note: SessionRecord | None,
         now: float,
         share: float,
     ) -> tuple[bool, ChoiceReason]:
--- a/walnutquay/protocol/messages.py
+++ b/walnutquay/protocol/messages.py
@@ -12,8 +12,8 @@
 from walnutquay.state.process.ids import HallName, VmName
 from walnutquay.state.requests.ends import CrashTrace
 from walnutquay.state.routed.gains import GainRow
-from walnutquay.state.trials.notes import SeenSession
 from walnutquay.state.trials.reports import TrialReport
+from walnutquay.state.trials.sessionrecords import SeenSession
 
 
 class Message:
--- a/walnutquay/protocol/peer.py
+++ b/walnutquay/protocol/peer.py
@@ -31,8 +31,8 @@
 from walnutquay.state.routed.gains import GainCounts, GainRow, ModelPair
 from walnutquay.state.trials.baseline import BaselineTime
 from walnutquay.state.trials.counts import Measure, TrialCounts
-from walnutquay.state.trials.notes import SeenSession
 from walnutquay.state.trials.reports import AnswerCounts, TrialReport, Verdict
+from walnutquay.state.trials.sessionrecords import SeenSession
 
 schema = capnp.load(str(Path(__file__).with_name("peer.capnp")))
 
--- a/walnutquay/state/trials/notes.py
+++ b/walnutquay/state/trials/sessionrecords.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class SessionNote:
+class SessionRecord:
     """The version that served a session last.
 
     :param version: the version.
@@ -62,7 +62,7 @@
     age: float
 
 
-class SessionNotes:
+class SessionRecords:
     """The records of the sessions that one VM has served.
 
     :param keep_seconds: the time after its last request at which a session expires.
@@ -70,13 +70,13 @@
 
     def __init__(self, keep_seconds: float) -> None:
         self.keep_seconds = keep_seconds
-        self.table: LatestTable[SessionKey, SessionNote] = LatestTable(
-            MAX_SESSIONS, SessionNote
+        self.table: LatestTable[SessionKey, SessionRecord] = LatestTable(
+            MAX_SESSIONS, SessionRecord
         )
 
     def find(
         self, service: ServiceName, session: str, now: float
-    ) -> SessionNote | None:
+    ) -> SessionRecord | None:
         """Find the record of a session.
 
         :param service: the service.
