--- a/walnutquay/state/trials/sessionrecords.py
+++ b/walnutquay/state/trials/sessionrecords.py
@@ -84,10 +84,10 @@
         :param now: monotonic seconds.
         :returns: the record; None if there is none or the session has expired.
         """
-        note = self.table.get((service, session)) if session else None
-        if note is None or note.age(now) >= self.keep_seconds:
+        record = self.table.get((service, session)) if session else None
+        if record is None or record.age(now) >= self.keep_seconds:
             return None
-        return note
+        return record
 
     def began(
         self, service: ServiceName, session: str, version: VersionName, now: float
@@ -99,10 +99,10 @@
         :param version: the version that it was sent to.
         :param now: monotonic seconds.
         """
-        note = self.table.touch((service, session))
-        note.version = version
-        note.at = now
-        note.running += 1
+        record = self.table.touch((service, session))
+        record.version = version
+        record.at = now
+        record.running += 1
 
     def ended(self, service: ServiceName, session: str, now: float) -> None:
         """Record that a request ended, for whatever reason.
@@ -111,13 +111,13 @@
         :param session: its session.
         :param now: monotonic seconds.
         """
-        note = self.table.get((service, session))
-        if note is None:
+        record = self.table.get((service, session))
+        if record is None:
             return
-        note.at = now
+        record.at = now
         # The record may have been evicted and created again while the request ran, so
         # the count may not include the request.
-        note.running = max(0, note.running - 1)
+        record.running = max(0, record.running - 1)
 
     def apply(self, seen: SeenSession, now: float) -> bool:
         """Apply a record from another VM, unless this VM's own is more recent.
@@ -126,12 +126,12 @@
         :param now: monotonic seconds.
         :returns: whether it was applied.
         """
-        note = self.table.touch((seen.service, seen.session))
+        record = self.table.touch((seen.service, seen.session))
         at = now - seen.age
-        if note.running or note.at >= at:
+        if record.running or record.at >= at:
             return False
-        note.version = seen.version
-        note.at = at
+        record.version = seen.version
+        record.at = at
         return True
 
     def recent(self, now: float) -> Iterator[SeenSession]:
@@ -139,7 +139,7 @@
 
         :param now: monotonic seconds.
         """
-        for (service, session), note in self.table.entries.items():
-            age = note.age(now)
+        for (service, session), record in self.table.entries.items():
+            age = record.age(now)
             if age < self.keep_seconds:
-                yield SeenSession(service, session, note.version, age)
+                yield SeenSession(service, session, record.version, age)
