--- a/lab/capacity/processortime.py
+++ b/lab/capacity/processortime.py
@@ -273,7 +273,7 @@
     for number in range(vms):
         if hall_of(number) == hall_of(0):
             process = VmProcess(f"{vm_name(number)}/1")
-            task.trial.hear(process, _report(number, KEPT), monotonic())
+            task.trial.receive(process, _report(number, KEPT), monotonic())
     task.write_at = math.inf
     for name, step in request_steps(vm):
         await show(f"{name}, on trial", step)
--- a/tests/coordination/trials/test_trialrecord.py
+++ b/tests/coordination/trials/test_trialrecord.py
@@ -199,7 +199,7 @@
                 self.values.stored["trials/o"] = Stored(1, data)
                 found = await self.recovered()
                 self.assertFalse(found.rejected)
-                self.assertEqual(found.told, {})
+                self.assertEqual(found.received, {})
 
     async def test_a_store_that_is_away(self):
         self.values.away = True
--- a/walnutquay/coordination/trials/news.py
+++ b/walnutquay/coordination/trials/news.py
@@ -241,9 +241,9 @@
             # What this VM has seen comes with the counts of its hall.
             trial.receive_decisions(news.report, now)
         else:
-            self.usual.hear(service, vm, news.report.usual)
+            self.usual.receive(service, vm, news.report.usual)
             process = VmProcess(f"{vm}/{envelope.incarnation}")
-            trial.hear(process, news.report, now)
+            trial.receive(process, news.report, now)
 
     def _task_of(self, report: TrialReport) -> TrialTask | None:
         for task in self.tasks.values():
