--- a/lab/capacity/costvm.py
+++ b/lab/capacity/costvm.py
@@ -41,8 +41,8 @@
 )
 from walnutquay.state.process.metrics import Metrics
 from walnutquay.state.requests.endpoints import EndpointTable
+from walnutquay.state.routed.modelchoice import ModelChoice
 from walnutquay.state.routed.prompts import Prompt, PromptPart
-from walnutquay.state.routed.sizing import ModelChoice
 from walnutquay.state.store.catalogue import (
     PUBLIC,
     Destination,
--- a/lab/cold/ways.py
+++ b/lab/cold/ways.py
@@ -13,9 +13,9 @@
 from walnutquay.state.routed.cold import (
     ColdEndpoints,
     ColdLimit,
-    keeper_count,
-    keepers_of,
-    quota_of,
+    assigned_senders,
+    sender_count,
+    sender_quota,
 )
 
 
@@ -109,19 +109,19 @@
     def __init__(self, vm: VmName, fleet: Fleet, rng: random.Random) -> None:
         super().__init__(vm, fleet, rng)
         total = fleet.limit.total
-        self.count = keeper_count(total, len(fleet.vms))
-        self.quota = quota_of(total, self.count)
+        self.count = sender_count(total, len(fleet.vms))
+        self.quota = sender_quota(total, self.count)
         self.cold = ColdEndpoints()
 
     def may_send(self, endpoint: EndpointName, now: float) -> bool:
         """:returns: whether this VM is a keeper, and has not sent its part."""
-        if self.vm not in keepers_of(endpoint, self.fleet.vms, self.count):
+        if self.vm not in assigned_senders(endpoint, self.fleet.vms, self.count):
             return False
         return self.cold.seconds_left(endpoint, self.quota, now) <= 0
 
     def sent(self, endpoint: EndpointName, now: float) -> None:
         """Count it."""
-        self.cold.turned_cold(endpoint, 1.0, now)
+        self.cold.set_cold_seconds(endpoint, 1.0, now)
         self.cold.sent(endpoint, self.quota.count, now)
 
 
@@ -165,7 +165,7 @@
         relays: dict[VmName, Relay],
     ) -> None:
         super().__init__(vm, fleet, rng)
-        chosen = keepers_of(EndpointName("grants"), fleet.vms, 1)[0]
+        chosen = assigned_senders(EndpointName("grants"), fleet.vms, 1)[0]
         self.relay = relays.setdefault(chosen, Relay(fleet.limit))
 
     def may_send(self, endpoint: EndpointName, now: float) -> bool:
--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -77,16 +77,16 @@
     ),
     Mutation(
         "models: what others lose counts",
-        "state/routed/sizing.py",
-        "return DEAREST_RUN * own + self.harm(model)",
-        "return DEAREST_RUN * own",
-        "tests.state.routed.test_sizing.StepTest.test_on_busy_engines_less_is_asked",
+        "state/routed/modelchoice.py",
+        "return MAX_RUN_COST * own + self.harm(model)",
+        "return MAX_RUN_COST * own",
+        "tests.state.routed.test_modelchoice.StepTest.test_on_busy_engines_less_is_asked",
     ),
     Mutation(
         "models: how far opinions scatter is learnt",
         "state/routed/gains.py",
         "deviations = sum(item.deviations for item in counts) / 2.0",
-        "deviations = FIRST_SCATTER * FIRST_SCATTER * seen",
+        "deviations = INITIAL_SCATTER * INITIAL_SCATTER * seen",
         "tests.state.routed.test_gains.ScatterTest.test_it_is_learnt",
     ),
     Mutation(
@@ -332,7 +332,7 @@
     Mutation(
         "cold endpoints: each VM sends as if it were their only keeper",
         "coordination/routed/cold.py",
-        "if self.context.vm not in keepers_of(instance.name, vms, count):",
+        "if self.context.vm not in assigned_senders(instance.name, vms, count):",
         "if False:",
         "tests.coordination.routed.test_cold.KeepersTest",
     ),
--- a/tests/coordination/routed/test_cold.py
+++ b/tests/coordination/routed/test_cold.py
@@ -26,9 +26,9 @@
     ColdEndpoints,
     ColdLimit,
     Quota,
-    keeper_count,
-    keepers_of,
-    quota_of,
+    assigned_senders,
+    sender_count,
+    sender_quota,
 )
 from walnutquay.transport.timers import monotonic
 
@@ -48,8 +48,8 @@
         for per_second in (0.1, 1.0, 2.5, 10.0, 50.0):
             limit = ColdLimit(per_second, 1.5 * per_second + 5.0)
             for vms in (1, 2, 6, 61, 640):
-                count = keeper_count(limit.total, vms)
-                quota = quota_of(limit.total, count)
+                count = sender_count(limit.total, vms)
+                quota = sender_quota(limit.total, count)
                 rate = count * quota.count / quota.seconds
                 self.assertLessEqual(rate, per_second * 1.0001)
 
@@ -58,9 +58,9 @@
         for per_second in (0.1, 1.0, 2.5, 10.0, 50.0):
             limit = ColdLimit(per_second, 1.5 * per_second + 5.0)
             for vms in (1, 2, 6, 61, 640):
-                count = keeper_count(limit.total, vms)
+                count = sender_count(limit.total, vms)
                 self.assertLessEqual(
-                    2 * count * quota_of(limit.total, count).count, limit.most
+                    2 * count * sender_quota(limit.total, count).count, limit.most
                 )
 
     @given(
@@ -70,22 +70,22 @@
     )
     def test_absurd_rates_do_no_harm(self, per_second: float, most: float, vms: int):
         limit = ColdLimit(per_second, most)
-        count = keeper_count(limit.total, vms)
+        count = sender_count(limit.total, vms)
         self.assertTrue(1 <= count <= vms)
-        quota = quota_of(limit.total, count)
+        quota = sender_quota(limit.total, count)
         self.assertGreaterEqual(quota.count, 1)
         self.assertGreater(quota.seconds, 0.0)
 
     def test_every_vm_finds_the_same_keepers(self):
-        found = keepers_of(E1, VMS, 10)
-        self.assertEqual(found, keepers_of(E1, list(reversed(VMS)), 10))
+        found = assigned_senders(E1, VMS, 10)
+        self.assertEqual(found, assigned_senders(E1, list(reversed(VMS)), 10))
         self.assertEqual(len(set(found)), 10)
 
     def test_endpoints_have_different_keepers(self):
         chosen = {
             vm
             for number in range(70)
-            for vm in keepers_of(EndpointName(f"e{number}"), VMS, 10)
+            for vm in assigned_senders(EndpointName(f"e{number}"), VMS, 10)
         }
         self.assertEqual(chosen, set(VMS))
 
@@ -97,23 +97,23 @@
         self.cold = ColdEndpoints()
 
     def test_it_ends_by_itself(self):
-        self.assertTrue(self.cold.turned_cold(E1, 3.0, 10.0))
+        self.assertTrue(self.cold.set_cold_seconds(E1, 3.0, 10.0))
         self.assertTrue(self.cold.is_cold(E1, 12.9))
         self.assertFalse(self.cold.is_cold(E1, 13.0))
 
     def test_it_may_turn_cold_again_and_warm(self):
-        self.cold.turned_cold(E1, 3.0, 10.0)
-        self.assertTrue(self.cold.turned_cold(E1, 2.0, 20.0))
-        self.assertTrue(self.cold.turned_cold(E1, 0.0, 21.0))
+        self.cold.set_cold_seconds(E1, 3.0, 10.0)
+        self.assertTrue(self.cold.set_cold_seconds(E1, 2.0, 20.0))
+        self.assertTrue(self.cold.set_cold_seconds(E1, 0.0, 21.0))
         self.assertFalse(self.cold.is_cold(E1, 21.0))
 
     def test_told_again_it_is_no_news(self):
-        self.cold.turned_cold(E1, 3.0, 10.0)
-        self.assertFalse(self.cold.turned_cold(E1, 2.5, 10.5))
+        self.cold.set_cold_seconds(E1, 3.0, 10.0)
+        self.assertFalse(self.cold.set_cold_seconds(E1, 2.5, 10.5))
 
     def test_a_sliding_span_bounds_what_is_sent(self):
         quota = Quota(2, 1.0)
-        self.cold.turned_cold(E1, 9.0, 0.0)
+        self.cold.set_cold_seconds(E1, 9.0, 0.0)
         for at in (0.1, 0.8):
             self.assertEqual(self.cold.seconds_left(E1, quota, at), 0.0)
             self.cold.sent(E1, quota.count, at)
--- a/tests/coordination/routed/test_promptengines.py
+++ b/tests/coordination/routed/test_promptengines.py
@@ -20,7 +20,7 @@
     VersionName,
 )
 from walnutquay.state.requests.endpoints import EndpointTable
-from walnutquay.state.routed.work import PromptWork, WorkTable, preferred_of
+from walnutquay.state.routed.work import PromptWork, WorkTable, preferred_endpoint
 from walnutquay.state.store.instances import Instance
 
 HERE = HallName("hall-0")
@@ -53,7 +53,7 @@
         self.engines = [engine(number) for number in range(rng.randint(1, ENGINES))]
         self.table = EndpointTable(HERE, rng)
         self.work = WorkTable()
-        self.work.hear_rate("m", 1e-5 * rng.randint(1, 20))
+        self.work.apply_peer_rate("m", 1e-5 * rng.randint(1, 20))
         subject = rng.choice(["", "a-subject"])
         self.prompt = PromptWork("m", rng.randint(1, 50_000), subject, 4_000)
         self.aim = rng.choice([0.3, 2.0])
@@ -74,8 +74,8 @@
         everywhere = [e.name for e in self.engines]
         beginning = self.prompt.beginning
         preferred = item.name in (
-            preferred_of(near, beginning),
-            preferred_of(everywhere, beginning),
+            preferred_endpoint(near, beginning),
+            preferred_endpoint(everywhere, beginning),
         )
         facts = self.table.of(item.name)
         slow = facts.slow_by(NOW)
--- a/tests/state/routed/test_gains.py
+++ b/tests/state/routed/test_gains.py
@@ -8,8 +8,8 @@
 import unittest
 
 from walnutquay.state.process.ids import ModelName, VmName
+from walnutquay.state.routed.confidence import INITIAL_SCATTER
 from walnutquay.state.routed.gains import Gains, ModelPair
-from walnutquay.state.routed.opinions import FIRST_SCATTER
 
 PAIR = ModelPair(ModelName("small"), ModelName("large"))
 
@@ -29,7 +29,7 @@
     """How far opinions scatter is learnt, from any start."""
 
     def test_at_first_it_is_a_guess(self):
-        self.assertEqual(Gains().scatter(), FIRST_SCATTER)
+        self.assertEqual(Gains().scatter(), INITIAL_SCATTER)
 
     def test_it_is_learnt(self):
         for scatter in (3.0, 8.0, 20.0):
@@ -41,7 +41,7 @@
         gains = Gains()
         for first, second in ((0.0, 60.0), (40.0, 100.0), (0.0, 100.0)):
             gains.add(PAIR, first, second)
-        self.assertEqual(gains.scatter(), FIRST_SCATTER)
+        self.assertEqual(gains.scatter(), INITIAL_SCATTER)
         self.assertEqual(gains.rows(), ())
 
 
--- a/tests/state/routed/test_sizing.py
+++ b/tests/state/routed/test_modelchoice.py
@@ -9,8 +9,13 @@
 from dataclasses import replace
 
 from walnutquay.state.process.ids import ModelName, RouteName, ServiceName
-from walnutquay.state.routed.opinions import FadingMean, chance_good, step_of
-from walnutquay.state.routed.sizing import Case, Demand, Forecast, ModelChoice
+from walnutquay.state.routed.confidence import FadingMean, chance_good, step_of
+from walnutquay.state.routed.modelchoice import (
+    ChoiceContext,
+    Demand,
+    Forecast,
+    ModelChoice,
+)
 from walnutquay.state.store.catalogue import Destination, Route, RouteKind
 
 MODELS = (ModelName("small"), ModelName("middle"), ModelName("large"))
@@ -28,9 +33,9 @@
 REQUESTS = 200
 
 
-def case(**more) -> Case:
+def case(**more) -> ChoiceContext:
     """:returns: a request that has just come, with idle engines."""
-    usual = Case(ROUTE, 0, 0.2, 19.8, Demand(), QUICK)
+    usual = ChoiceContext(ROUTE, 0, 0.2, 19.8, Demand(), QUICK)
     return replace(usual, **more)
 
 
@@ -127,7 +132,7 @@
         waits = tuple(replace(f, wait=1.0) for f in QUICK)
         slow = tuple(replace(f, wait=10.0, reading=10 * f.reading) for f in QUICK)
         usual = case(forecasts=waits, demand=Demand(2.0, 0.5))
-        slower = Case(slow_route, 0, 2.0, 198.0, Demand(0.2, 0.5), slow)
+        slower = ChoiceContext(slow_route, 0, 2.0, 198.0, Demand(0.2, 0.5), slow)
         for opinion in range(0, 100, 5):
             expected = ModelChoice().next(usual, 0, opinion)
             found = ModelChoice().next(slower, 0, opinion)
--- a/tests/state/routed/test_work.py
+++ b/tests/state/routed/test_work.py
@@ -11,7 +11,7 @@
     PACES,
     PromptWork,
     WorkTable,
-    preferred_of,
+    preferred_endpoint,
     reading_rank,
 )
 
@@ -21,9 +21,11 @@
 KEPT = 30.0
 
 
-def prompt(tokens: int, subject: str = "", subject_tokens: int = 0) -> PromptWork:
+def prompt(
+    tokens: int, shared_prefix: str = "", shared_prefix_tokens: int = 0
+) -> PromptWork:
     """:returns: the reading of a prompt by the model ``m``."""
-    return PromptWork("m", tokens, subject, subject_tokens)
+    return PromptWork("m", tokens, shared_prefix, shared_prefix_tokens)
 
 
 class WaitTest(unittest.TestCase):
@@ -54,16 +56,16 @@
         second = table.add(A, 1.0, "", 0.0)
         table.add(A, 0.5, "", 0.1)
         # Far sooner than was thought: only what came behind it is left.
-        table.has_read(A, second, 0.2)
+        table.record_read(A, second, 0.2)
         self.assertAlmostEqual(table.wait(A, 0.2), 0.5)
-        table.has_read(A, second, 0.4)
+        table.record_read(A, second, 0.4)
         self.assertAlmostEqual(table.wait(A, 0.4), 0.3)
 
     def test_a_late_answer_takes_nothing_away(self):
         table = WorkTable()
         first = table.add(A, 1.0, "", 0.0)
         table.add(A, 2.0, "", 0.0)
-        table.has_read(A, first, 2.5)
+        table.record_read(A, first, 2.5)
         self.assertAlmostEqual(table.wait(A, 2.5), 0.5)
 
     def test_gone_engines_are_forgotten(self):
@@ -106,11 +108,11 @@
 
     def test_what_others_have_learnt_counts_until_the_first_own_prompt(self):
         table = WorkTable()
-        table.hear_rate("m", 5e-5)
-        table.hear_rate("n", 0.0)
+        table.apply_peer_rate("m", 5e-5)
+        table.apply_peer_rate("n", 0.0)
         self.assertEqual((table.rate("m"), table.rate("n")), (5e-5, 0.0))
         table.learn("m", 10_000, 0.3)
-        table.hear_rate("m", 5e-5)
+        table.apply_peer_rate("m", 5e-5)
         self.assertAlmostEqual(table.rate("m"), 30e-6)
 
     def test_short_prompts_say_nothing(self):
@@ -138,8 +140,8 @@
 
     def test_order_does_not_matter(self):
         names = [EndpointName(f"e{n}") for n in range(9)]
-        for subject in ("x", "y", "z"):
-            first = preferred_of(names, subject)
-            self.assertEqual(first, preferred_of(names[::-1], subject))
-        self.assertIsNone(preferred_of(names, ""))
-        self.assertIsNone(preferred_of([], "x"))
+        for shared_prefix in ("x", "y", "z"):
+            first = preferred_endpoint(names, shared_prefix)
+            self.assertEqual(first, preferred_endpoint(names[::-1], shared_prefix))
+        self.assertIsNone(preferred_endpoint(names, ""))
+        self.assertIsNone(preferred_endpoint([], "x"))
--- a/walnutquay/coordination/routed/cascading.py
+++ b/walnutquay/coordination/routed/cascading.py
@@ -19,7 +19,12 @@
 from walnutquay.state.process.events import EventKind
 from walnutquay.state.process.ids import EndpointName, ModelName, VmName
 from walnutquay.state.routed.gains import GainRow
-from walnutquay.state.routed.sizing import Case, Forecast, ModelChoice, Step
+from walnutquay.state.routed.modelchoice import (
+    CascadeDecision,
+    ChoiceContext,
+    Forecast,
+    ModelChoice,
+)
 from walnutquay.transport.timers import monotonic
 
 # Values are logged to so many digits.
@@ -121,7 +126,9 @@
         route = turn.arrival.route
         self.choice.learn(route, first.model, first.opinion, turn.model, opinion)
 
-    def next(self, turn: RoutedTurn, opinion: float) -> tuple[Step, Case]:
+    def next(
+        self, turn: RoutedTurn, opinion: float
+    ) -> tuple[CascadeDecision, ChoiceContext]:
         """Decide about an answer of which nothing was sent to the caller yet.
 
         :param turn: the request.
@@ -132,14 +139,14 @@
         case = self.case_of(turn)
         return self.choice.next(case, turn.model, opinion), case
 
-    def case_of(self, turn: RoutedTurn) -> Case:
+    def case_of(self, turn: RoutedTurn) -> ChoiceContext:
         """:param turn: a request.
 
         :returns: what its models can do for it now.
         """
         arrival = turn.arrival
         now = monotonic()
-        return Case(
+        return ChoiceContext(
             arrival.route,
             arrival.priority,
             now - arrival.came,
@@ -179,7 +186,11 @@
         return next((item.cost for item in models if item.name == model), 0.0)
 
     def tell(
-        self, turn: RoutedTurn, endpoint: EndpointName, step: Step, case: Case
+        self,
+        turn: RoutedTurn,
+        endpoint: EndpointName,
+        step: CascadeDecision,
+        case: ChoiceContext,
     ) -> None:
         """Log that a larger model is asked, with what decided it.
 
--- a/walnutquay/coordination/routed/cold.py
+++ b/walnutquay/coordination/routed/cold.py
@@ -15,13 +15,13 @@
 from walnutquay.state.process.events import EventKind
 from walnutquay.state.process.ids import EndpointName, HallName, ServiceName, VmName
 from walnutquay.state.routed.cold import (
-    COUNTED_SECONDS,
+    LIMIT_WINDOW_SECONDS,
     ColdEndpoints,
     ColdLimit,
     Quota,
-    keeper_count,
-    keepers_of,
-    quota_of,
+    assigned_senders,
+    sender_count,
+    sender_quota,
 )
 from walnutquay.state.store.catalogue import RoutedService
 from walnutquay.state.store.instances import Instance, InstanceBook
@@ -116,7 +116,7 @@
 
     def _turn(self, instance: Instance, seconds: float, source: str) -> None:
         now = monotonic()
-        if not self.endpoints.turned_cold(instance.name, seconds, now):
+        if not self.endpoints.set_cold_seconds(instance.name, seconds, now):
             return
         if seconds <= 0:
             self.context.timeline.emit(
@@ -161,10 +161,10 @@
         vms = self.peers.names_near(instance.hall)
         if limit is None or not vms:
             return None
-        count = keeper_count(limit.total, len(vms))
-        if self.context.vm not in keepers_of(instance.name, vms, count):
+        count = sender_count(limit.total, len(vms))
+        if self.context.vm not in assigned_senders(instance.name, vms, count):
             return None
-        return quota_of(limit.total, count)
+        return sender_quota(limit.total, count)
 
     def is_bound(self, instance: Instance, now: float) -> bool:
         """:param instance: an endpoint.
@@ -196,7 +196,7 @@
         :param now: monotonic seconds.
         :returns: those that this VM may send a request now.
         """
-        if now >= self.endpoints.any_until:
+        if now >= self.endpoints.any_cold_until:
             return instances
         found = [item for item in instances if self.seconds_left(item, now) <= 0]
         passed_over = len(instances) - len(found)
@@ -246,7 +246,7 @@
         Those who are refused together return spread over the time in which what each
         cold endpoint may get comes anew.
         """
-        return COUNTED_SECONDS * (0.5 + self.context.rng.random())
+        return LIMIT_WINDOW_SECONDS * (0.5 + self.context.rng.random())
 
     def sent(self, instance: Instance, now: float) -> bool:
         """Note that this VM sends an endpoint a request.
--- a/walnutquay/coordination/routed/places.py
+++ b/walnutquay/coordination/routed/places.py
@@ -26,9 +26,9 @@
 from walnutquay.state.requests.endpoints import EndpointTable
 from walnutquay.state.requests.refusals import Refusal, RefusalCode
 from walnutquay.state.requests.regions import within
-from walnutquay.state.routed.sizing import Demand, weight_of
+from walnutquay.state.routed.modelchoice import Demand, priority_weight
 from walnutquay.state.routed.traffic import PromptTraffic, SentPrompt
-from walnutquay.state.routed.work import PromptWork, WorkTable, preferred_of
+from walnutquay.state.routed.work import PromptWork, WorkTable, preferred_endpoint
 from walnutquay.state.store.instances import Instance, InstanceBook
 from walnutquay.transport.timers import monotonic
 
@@ -198,14 +198,14 @@
         kept = self.kept_seconds(service, now)
         wait = self.work.wait(grant.name, now)
         seconds = self.work.reading(grant.name, work, now, False, kept)
-        cached = self.work.has(grant.name, work.beginning, now, kept)
+        cached = self.work.has_cached(grant.name, work.beginning, now, kept)
         mark = self.work.add(grant.name, seconds, work.beginning, now)
         name = EndpointName(grant.name)
         assert isinstance(grant.endpoint, Instance)
         hall = grant.endpoint.hall
         note = ReadingNote(work, name, hall, wait, seconds, cached, mark)
         self.reading[id(grant)] = note
-        weight = weight_of(need.priority)
+        weight = priority_weight(need.priority)
         self._traffic(service).add(SentPrompt(now, work.tokens, seconds, weight))
         for listener in self.listeners:
             listener(note)
@@ -260,7 +260,7 @@
 
         :param news: what it tells.
         """
-        self.work.hear_rate(news.model, news.rate)
+        self.work.apply_peer_rate(news.model, news.rate)
         name = EndpointName(news.endpoint)
         if name in self.book.known:
             self.work.add(name, news.seconds, news.beginning, monotonic())
@@ -290,7 +290,7 @@
             other for other in self.reading.values() if other.engine == grant.name
         ]
         if all(other.seconds <= note.seconds for other in others):
-            self.work.has_read(note.engine, note.mark, monotonic())
+            self.work.record_read(note.engine, note.mark, monotonic())
         if note.wait <= 0 and not note.cached:
             self.work.learn(note.work.model, note.work.tokens, seconds)
 
@@ -317,7 +317,7 @@
         others: so one more end tells it from most of these, and no two end at a time.
         """
         open_ones = self.table.open_ones(left, now, need.tried) or left
-        name = preferred_of([item.name for item in open_ones], need.suspect)
+        name = preferred_endpoint([item.name for item in open_ones], need.suspect)
         return next((item for item in open_ones if item.name == name), None)
 
     def _least_loaded(self, left: list[Instance], now: float) -> Instance | None:
--- a/walnutquay/coordination/routed/promptengines.py
+++ b/walnutquay/coordination/routed/promptengines.py
@@ -8,7 +8,7 @@
 
 from walnutquay.state.process.ids import EndpointName, HallName
 from walnutquay.state.requests.endpoints import EndpointTable
-from walnutquay.state.routed.work import PromptWork, WorkTable, preferences
+from walnutquay.state.routed.work import PromptWork, WorkTable, preference_scores
 from walnutquay.state.store.instances import Instance
 
 # A wait grows harmful with its square, for only long ones make an answer late; an
@@ -96,7 +96,7 @@
         """
         if not beginning:
             return set()
-        numbers = preferences(self.names, beginning)
+        numbers = preference_scores(self.names, beginning)
         near = [
             number
             for number, is_near in zip(numbers, self.is_near, strict=True)
--- a/walnutquay/coordination/routed/turn.py
+++ b/walnutquay/coordination/routed/turn.py
@@ -167,7 +167,9 @@
         prompt = self.arrival.head.prompt
         if not prompt.tokens:
             return None
-        return PromptWork(model, prompt.tokens, prompt.subject, prompt.subject_tokens)
+        return PromptWork(
+            model, prompt.tokens, prompt.shared_prefix, prompt.shared_prefix_tokens
+        )
 
     @property
     def model_name(self) -> ModelName | None:
--- a/walnutquay/daemon/gateway.py
+++ b/walnutquay/daemon/gateway.py
@@ -63,7 +63,7 @@
 from walnutquay.state.process.ids import HallName, RegionName, ServiceName, VmName
 from walnutquay.state.process.metrics import Metrics
 from walnutquay.state.requests.endpoints import EndpointTable
-from walnutquay.state.routed.sizing import ModelChoice
+from walnutquay.state.routed.modelchoice import ModelChoice
 from walnutquay.state.store.catalogue import RoutedService
 from walnutquay.transport.client import HttpClient
 from walnutquay.transport.lines import LineWriter
--- a/walnutquay/platform/calls.py
+++ b/walnutquay/platform/calls.py
@@ -82,8 +82,8 @@
             parts.append(PromptPart(name, int(tokens)))
     return Prompt(
         tokens=int(read) if read.strip().isdigit() else 0,
-        most_written=int(written) if written.strip().isdigit() else 0,
-        hint_written=_whole(headers, names.LENGTH_HINT) or 0,
+        max_output_tokens=int(written) if written.strip().isdigit() else 0,
+        expected_output_tokens=_whole(headers, names.LENGTH_HINT) or 0,
         parts=tuple(parts),
     )
 
--- a/walnutquay/state/routed/cold.py
+++ b/walnutquay/state/routed/cold.py
@@ -23,7 +23,7 @@
 # VMs differ, up to two sets of keepers send.
 SAFE_PART = 0.5
 # The span in which operators count what reaches a cold endpoint; seconds.
-COUNTED_SECONDS = 1.0
+LIMIT_WINDOW_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
     seconds: float
 
 
-def keeper_count(total: float, vms: int) -> int:
+def sender_count(total: float, vms: int) -> int:
     """Tell how many VMs share what a cold endpoint may get.
 
     As many as may each send a whole request in each second: what one of them may send
@@ -68,18 +68,18 @@
     return max(1, min(vms, math.floor(total)))
 
 
-def quota_of(total: float, keepers: int) -> Quota:
+def sender_quota(total: float, keepers: int) -> Quota:
     """:param total: requests that all keepers together may send in a second.
 
     :param keepers: how many they are.
     """
     each = total / keepers
     if each >= 1.0:
-        return Quota(math.floor(each), COUNTED_SECONDS)
-    return Quota(1, COUNTED_SECONDS / max(each, 1e-9))
+        return Quota(math.floor(each), LIMIT_WINDOW_SECONDS)
+    return Quota(1, LIMIT_WINDOW_SECONDS / max(each, 1e-9))
 
 
-def keepers_of(
+def assigned_senders(
     endpoint: EndpointName, vms: Collection[VmName], count: int
 ) -> list[VmName]:
     """Choose the VMs that may send to a cold endpoint; every VM chooses alike.
@@ -109,9 +109,9 @@
     def __init__(self) -> None:
         self.facts: dict[EndpointName, ColdFacts] = {}
         # Until when any endpoint may be cold; monotonic seconds.
-        self.any_until = -math.inf
+        self.any_cold_until = -math.inf
 
-    def turned_cold(self, name: EndpointName, seconds: float, now: float) -> bool:
+    def set_cold_seconds(self, name: EndpointName, seconds: float, now: float) -> bool:
         """Take in that an endpoint is cold, or for how long it still is.
 
         :param name: the endpoint.
@@ -120,7 +120,7 @@
         :returns: whether it was not known to be so.
         """
         before = self.is_cold(name, now)
-        self.any_until = max(self.any_until, now + seconds)
+        self.any_cold_until = max(self.any_cold_until, now + seconds)
         facts = self.facts.get(name)
         if facts is not None:
             facts.until = now + seconds
--- a/walnutquay/state/routed/opinions.py
+++ b/walnutquay/state/routed/confidence.py
@@ -16,7 +16,7 @@
 EVEN = 50.0
 # How far opinions are taken to scatter around what an answer deserves until that is
 # known, in points: one such step above the middle they are right five times in six.
-FIRST_SCATTER = 15.0
+INITIAL_SCATTER = 15.0
 # Steps of the scale that are told apart.
 STEPS = 10
 # Observations that a first guess counts as.
@@ -25,7 +25,7 @@
 MEMORY = 100.0
 
 
-def chance_good(opinion: float, scatter: float = FIRST_SCATTER) -> float:
+def chance_good(opinion: float, scatter: float = INITIAL_SCATTER) -> float:
     """:param opinion: a model's opinion of its answer, 0 to 100.
 
     :param scatter: how far opinions scatter around what an answer deserves; points.
--- a/walnutquay/state/routed/gains.py
+++ b/walnutquay/state/routed/gains.py
@@ -13,7 +13,12 @@
 from dataclasses import dataclass
 
 from walnutquay.state.process.ids import ModelName, VmName
-from walnutquay.state.routed.opinions import FIRST_SCATTER, GUESS_COUNT, MEMORY, inside
+from walnutquay.state.routed.confidence import (
+    GUESS_COUNT,
+    INITIAL_SCATTER,
+    MEMORY,
+    inside,
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -129,7 +134,7 @@
         counts = [self._counts(pair) for pair in pairs]
         seen = sum(item.count for item in counts)
         deviations = sum(item.deviations for item in counts) / 2.0
-        first = FIRST_SCATTER * FIRST_SCATTER * GUESS_COUNT
+        first = INITIAL_SCATTER * INITIAL_SCATTER * GUESS_COUNT
         return math.sqrt((first + deviations) / (GUESS_COUNT + seen))
 
     def _counts(self, pair: ModelPair) -> GainCounts:
--- a/walnutquay/state/routed/sizing.py
+++ b/walnutquay/state/routed/modelchoice.py
@@ -15,15 +15,15 @@
 from dataclasses import dataclass
 
 from walnutquay.state.process.ids import RouteName
+from walnutquay.state.routed.confidence import FadingMean, chance_good, step_of
 from walnutquay.state.routed.gains import Gains, ModelPair
-from walnutquay.state.routed.opinions import FadingMean, chance_good, step_of
 from walnutquay.state.store.catalogue import Route
 
 # What a good answer after its aim is worth, beside one in time.
 LATE_VALUE = 0.3
 # What a run of a route's most costly model costs, as a part of a good answer's worth:
 # operators state prices and no worth, and would not list a model that eats it up.
-DEAREST_RUN = 0.15
+MAX_RUN_COST = 0.15
 # A forecast of an answer's beginning may be off by this part of the aim either way.
 FORECAST_ERROR = 0.25
 # How many points more the largest model thinks of its answers than the smallest does
@@ -54,7 +54,7 @@
 
     :param arrivals: prompts for each engine a second.
     :param busy: the part of their time for which engines read.
-    :param weight: the mean weight of those prompts; see :func:`weight_of`.
+    :param weight: the mean weight of those prompts; see :func:`priority_weight`.
     :param readings: seconds to read each of the last ones.
     """
 
@@ -73,7 +73,7 @@
         return sum(item >= reading for item in self.readings) / len(self.readings)
 
 
-def weight_of(priority: int) -> float:
+def priority_weight(priority: int) -> float:
     """:param priority: a request's rank, 0 the most urgent.
 
     :returns: what it counts beside others.
@@ -82,7 +82,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Case:
+class ChoiceContext:
     """A request at the moment of a choice.
 
     :param route: its route.
@@ -119,7 +119,7 @@
         """
         dearest = max(item.cost for item in self.forecasts)
         own = self.forecasts[model].cost / dearest if dearest > 0 else 0.0
-        return DEAREST_RUN * own + self.harm(model)
+        return MAX_RUN_COST * own + self.harm(model)
 
     def harm(self, model: int) -> float:
         """Estimate what others lose who come while the engine is busy with this.
@@ -140,7 +140,7 @@
         longer = self.demand.longer(forecast.reading)
         late = longer * behind_all + (1.0 - longer) * behind_this
         late *= self.demand.arrivals
-        weight = self.demand.weight / weight_of(self.priority)
+        weight = self.demand.weight / priority_weight(self.priority)
         return late * (1.0 - LATE_VALUE) * weight
 
 
@@ -157,7 +157,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
+class CascadeDecision:
     """What is best to do with an answer.
 
     :param larger: the index of the model to ask instead; None to keep it.
@@ -194,7 +194,9 @@
         key = (route.name, smaller, step_of(opinion), larger)
         self.steps.setdefault(key, FadingMean()).add(second - opinion)
 
-    def next(self, case: Case, model: int, opinion: float | None) -> Step:
+    def next(
+        self, case: ChoiceContext, model: int, opinion: float | None
+    ) -> CascadeDecision:
         """Decide about an answer before any of it is sent.
 
         :param case: the request.
@@ -202,10 +204,10 @@
         :param opinion: its opinion of its answer; None where it gave none.
         """
         if opinion is None:
-            return Step(None, 1.0, 1.0)
+            return CascadeDecision(None, 1.0, 1.0)
         scatter = self.gains.scatter()
         kept = chance_good(opinion, scatter) * case.worth_at(0.0)
-        best = Step(None, kept, kept)
+        best = CascadeDecision(None, kept, kept)
         for larger in range(model + 1, len(case.route.models)):
             gain = self._gain(case.route, model, step_of(opinion), larger)
             chance = chance_good(opinion + gain, scatter)
@@ -216,7 +218,7 @@
             worth = case.worth_at(forecast.wait + forecast.reading)
             value = chance * worth - case.price(larger)
             if value > best.value:
-                best = Step(larger, value, kept)
+                best = CascadeDecision(larger, value, kept)
         return best
 
     def _gain(self, route: Route, smaller: int, step: int, larger: int) -> float:
--- a/walnutquay/state/routed/prompts.py
+++ b/walnutquay/state/routed/prompts.py
@@ -24,23 +24,23 @@
     """The size of a prompt and its parts.
 
     :param tokens: tokens to read.
-    :param most_written: the most tokens that may be written.
-    :param hint_written: the caller's guess of how many will be; 0 for none.
+    :param max_output_tokens: the most tokens that may be written.
+    :param expected_output_tokens: the caller's guess of how many will be; 0 for none.
     :param parts: its parts in order; the last is the request's own or its
         session's, the others are shared.
     """
 
     tokens: int = 0
-    most_written: int = 0
-    hint_written: int = 0
+    max_output_tokens: int = 0
+    expected_output_tokens: int = 0
     parts: tuple[PromptPart, ...] = ()
 
     @property
-    def subject(self) -> str:
+    def shared_prefix(self) -> str:
         """What stands for the longest beginning that other prompts share."""
         return self.parts[-2].name if len(self.parts) > 1 else ""
 
     @property
-    def subject_tokens(self) -> int:
+    def shared_prefix_tokens(self) -> int:
         """Tokens of that beginning."""
         return sum(part.tokens for part in self.parts[:-1])
--- a/walnutquay/state/routed/traffic.py
+++ b/walnutquay/state/routed/traffic.py
@@ -7,7 +7,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from walnutquay.state.routed.sizing import Demand
+from walnutquay.state.routed.modelchoice import Demand
 
 # So many prompts are looked back on: as few as give a rate within a quarter or so.
 PROMPTS = 16
--- a/walnutquay/state/routed/work.py
+++ b/walnutquay/state/routed/work.py
@@ -43,22 +43,22 @@
 
     :param model: the model.
     :param tokens: tokens of the whole prompt.
-    :param subject: what stands for the longest beginning that others share; empty
+    :param shared_prefix: what stands for the longest beginning that others share; empty
         for none.
-    :param subject_tokens: tokens of that beginning.
+    :param shared_prefix_tokens: tokens of that beginning.
     """
 
     model: str
     tokens: int
-    subject: str
-    subject_tokens: int
+    shared_prefix: str
+    shared_prefix_tokens: int
 
     @property
     def beginning(self) -> str:
         """What stands for what an engine keeps: the beginning, read by this model."""
-        if not self.subject:
+        if not self.shared_prefix:
             return ""
-        return xxhash.xxh3_64_hexdigest(f"{self.model}\n{self.subject}".encode())
+        return xxhash.xxh3_64_hexdigest(f"{self.model}\n{self.shared_prefix}".encode())
 
 
 class WorkTable:
@@ -97,7 +97,7 @@
         seen.append(seconds / tokens)
         self.rates[model] = sorted(seen)[int(PACE_QUANTILE * len(seen))]
 
-    def hear_rate(self, model: str, rate: float) -> None:
+    def apply_peer_rate(self, model: str, rate: float) -> None:
         """Take over what another VM has learnt, where nothing was learnt here.
 
         :param model: the model.
@@ -123,7 +123,9 @@
         until = self.busy_until.get
         return [max(0.0, until(name, now) - now) for name in names]
 
-    def has(self, name: EndpointName, beginning: str, now: float, kept: float) -> bool:
+    def has_cached(
+        self, name: EndpointName, beginning: str, now: float, kept: float
+    ) -> bool:
         """:param name: an engine.
 
         :param beginning: a beginning; see :attr:`PromptWork.beginning`.
@@ -185,7 +187,7 @@
         :returns: seconds for each of them, without the wait before it.
         """
         new = self._seconds(work, 0.0)
-        if not work.subject:
+        if not work.shared_prefix:
             return [new] * len(names)
         found = self._seconds(work, 1.0)
         likely = self._seconds(work, PREFERRED_CHANCE)
@@ -197,7 +199,7 @@
 
     def _seconds(self, work: PromptWork, chance: float) -> float:
         """Give the time to read a prompt whose beginning is kept with some chance."""
-        tokens = float(work.tokens) - chance * work.subject_tokens
+        tokens = float(work.tokens) - chance * work.shared_prefix_tokens
         return max(0.0, tokens) * self.rate(work.model)
 
     def add(
@@ -209,7 +211,7 @@
         :param seconds: how long it will take to read it.
         :param beginning: what it has cached from then on; empty for nothing.
         :param now: monotonic seconds.
-        :returns: a mark for :meth:`has_read`.
+        :returns: a mark for :meth:`record_read`.
         """
         self.busy_until[name] = now + self.wait(name, now) + seconds
         mark = self.given[name] = self.given.get(name, 0.0) + seconds
@@ -218,7 +220,7 @@
             times[:] = [now]
         return mark
 
-    def has_read(self, name: EndpointName, mark: float, now: float) -> None:
+    def record_read(self, name: EndpointName, mark: float, now: float) -> None:
         """Note that an engine has read a prompt, and so all that was before it.
 
         Without it a reading time that was learnt too long would never be put right:
@@ -244,7 +246,9 @@
             self.given.pop(name, None)
 
 
-def preferred_of(names: Sequence[EndpointName], beginning: str) -> EndpointName | None:
+def preferred_endpoint(
+    names: Sequence[EndpointName], beginning: str
+) -> EndpointName | None:
     """Choose the engine that all VMs prefer for a beginning.
 
     :param names: the engines to choose among.
@@ -252,11 +256,11 @@
     """
     if not names or not beginning:
         return None
-    numbers = preferences(names, beginning)
+    numbers = preference_scores(names, beginning)
     return names[numbers.index(max(numbers))]
 
 
-def preferences(names: Sequence[EndpointName], beginning: str) -> list[int]:
+def preference_scores(names: Sequence[EndpointName], beginning: str) -> list[int]:
     """Number engines for a beginning; that with the greatest number is preferred.
 
     :param names: the engines.
