--- a/lab/capacity/processortime.py
+++ b/lab/capacity/processortime.py
@@ -264,7 +264,7 @@
     vm = CostVm(vms, engines)
     rows = next(body.rows for name, body in messages() if name == "opinions")
     for number in range(1, vms):
-        vm.cascading.choice.gains.hear(vm_name(number), rows)
+        vm.cascading.choice.gains.apply_peer_rows(vm_name(number), rows)
     for step in request_steps(vm):
         await show(*step)
     vm.begin_trial()
--- a/lab/cold/ways.py
+++ b/lab/cold/ways.py
@@ -122,7 +122,7 @@
     def sent(self, endpoint: EndpointName, now: float) -> None:
         """Count it."""
         self.cold.set_cold_seconds(endpoint, 1.0, now)
-        self.cold.sent(endpoint, self.quota.count, now)
+        self.cold.record_send(endpoint, self.quota.count, now)
 
 
 @dataclass
--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -80,14 +80,14 @@
         "state/routed/modelchoice.py",
         "return MAX_RUN_COST * own + self.harm(model)",
         "return MAX_RUN_COST * own",
-        "tests.state.routed.test_modelchoice.StepTest.test_on_busy_engines_less_is_asked",
+        "tests.state.routed.test_modelchoice.DecisionTest.test_busy_engines_get_fewer_requests",
     ),
     Mutation(
         "models: how far opinions scatter is learnt",
         "state/routed/gains.py",
         "deviations = sum(item.deviations for item in counts) / 2.0",
         "deviations = INITIAL_SCATTER * INITIAL_SCATTER * seen",
-        "tests.state.routed.test_gains.ScatterTest.test_it_is_learnt",
+        "tests.state.routed.test_gains.ScatterTest.test_the_scatter_is_estimated",
     ),
     Mutation(
         "engines: those that cannot be connected to are not waited for",
--- a/tests/coordination/routed/test_cold.py
+++ b/tests/coordination/routed/test_cold.py
@@ -60,7 +60,8 @@
             for vms in (1, 2, 6, 61, 640):
                 count = sender_count(limit.total, vms)
                 self.assertLessEqual(
-                    2 * count * sender_quota(limit.total, count).count, limit.most
+                    2 * count * sender_quota(limit.total, count).count,
+                    limit.max_per_second,
                 )
 
     @given(
@@ -116,10 +117,10 @@
         self.cold.set_cold_seconds(E1, 9.0, 0.0)
         for at in (0.1, 0.8):
             self.assertEqual(self.cold.seconds_left(E1, quota, at), 0.0)
-            self.cold.sent(E1, quota.count, at)
+            self.cold.record_send(E1, quota.count, at)
         self.assertAlmostEqual(self.cold.seconds_left(E1, quota, 0.9), 0.2)
         self.assertEqual(self.cold.seconds_left(E1, quota, 1.1), 0.0)
-        self.cold.sent(E1, quota.count, 1.1)
+        self.cold.record_send(E1, quota.count, 1.1)
         self.assertAlmostEqual(self.cold.seconds_left(E1, quota, 1.1), 0.7)
 
 
@@ -222,11 +223,11 @@
 
     async def test_an_entry_that_is_written_again_says_nothing_new(self):
         gate = self.gateway.path.places.cold.endpoints
-        until = gate.facts[E1].until
+        until = gate.states[E1].until
         await self.write("e1", coldLeftMs=COLD_MS, slots=9)
         book = self.gateway.knowledge.instances.book
         await self.until(lambda: book.known[E1].slots == 9)
-        self.assertEqual(gate.facts[E1].until, until)
+        self.assertEqual(gate.states[E1].until, until)
 
     async def test_it_is_logged(self):
         events = self.gateway.context.timeline.ring.events
--- a/tests/state/routed/test_gains.py
+++ b/tests/state/routed/test_gains.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What pairs of opinions tell of models, and how VMs learn from each other."""
+"""Tests of the estimates from pairs of confidence values, and of sharing them."""
 
 from __future__ import annotations
 
@@ -14,30 +14,32 @@
 PAIR = ModelPair(ModelName("small"), ModelName("large"))
 
 
-def seen(scatter: float, gain: float, pairs: int, seed: int = 1) -> Gains:
-    """:returns: what so many pairs of opinions tell."""
+def observed_gains(scatter: float, gain: float, pairs: int, seed: int = 1) -> Gains:
+    """Return the estimates from a number of random pairs of confidence values."""
     rng = random.Random(seed)
     gains = Gains()
     for _ in range(pairs):
-        deserved = rng.uniform(20.0, 80.0 - gain)
-        first = deserved + rng.gauss(0.0, scatter)
-        gains.add(PAIR, first, deserved + gain + rng.gauss(0.0, scatter))
+        merit = rng.uniform(20.0, 80.0 - gain)
+        first = merit + rng.gauss(0.0, scatter)
+        gains.add(PAIR, first, merit + gain + rng.gauss(0.0, scatter))
     return gains
 
 
 class ScatterTest(unittest.TestCase):
-    """How far opinions scatter is learnt, from any start."""
+    """The scatter is estimated, whatever its actual value."""
 
-    def test_at_first_it_is_a_guess(self):
+    def test_the_initial_value_is_used_without_observations(self):
         self.assertEqual(Gains().scatter(), INITIAL_SCATTER)
 
-    def test_it_is_learnt(self):
+    def test_the_scatter_is_estimated(self):
         for scatter in (3.0, 8.0, 20.0):
             self.assertAlmostEqual(
-                seen(scatter, 10.0, 200).scatter(), scatter, delta=0.25 * scatter + 1.5
+                observed_gains(scatter, 10.0, 200).scatter(),
+                scatter,
+                delta=0.25 * scatter + 1.5,
             )
 
-    def test_opinions_at_the_ends_of_the_scale_say_nothing(self):
+    def test_clipped_values_are_ignored(self):
         gains = Gains()
         for first, second in ((0.0, 60.0), (40.0, 100.0), (0.0, 100.0)):
             gains.add(PAIR, first, second)
@@ -46,16 +48,18 @@
 
 
 class GainTest(unittest.TestCase):
-    """How much more a larger model thinks of its answers."""
+    """The gain in confidence of a larger model."""
 
-    def test_it_is_learnt(self):
-        self.assertAlmostEqual(seen(8.0, 30.0, 100).gain(PAIR, 50.0), 30.0, delta=4.0)
+    def test_the_gain_is_estimated(self):
+        self.assertAlmostEqual(
+            observed_gains(8.0, 30.0, 100).gain(PAIR, 50.0), 30.0, delta=4.0
+        )
 
-    def test_a_guess_until_then(self):
+    def test_the_guess_is_used_without_observations(self):
         self.assertEqual(Gains().gain(PAIR, 50.0), 50.0)
 
-    def test_it_changes_with_the_model(self):
-        gains = seen(8.0, 30.0, 300)
+    def test_the_estimate_follows_a_model_that_changes(self):
+        gains = observed_gains(8.0, 30.0, 300)
         rng = random.Random(2)
         for _ in range(300):
             first = rng.uniform(20.0, 60.0)
@@ -64,27 +68,29 @@
 
 
 class SharingTest(unittest.TestCase):
-    """VMs learn from each other."""
+    """VMs use the counts that their peers send."""
 
-    def test_a_new_vm_knows_what_the_others_have_seen(self):
-        fresh = Gains()
+    def test_a_new_vm_uses_the_counts_of_its_peers(self):
+        new_vm = Gains()
         for number in range(5):
-            fresh.hear(VmName(f"vm-{number}"), seen(8.0, 30.0, 20, number).rows())
-        self.assertAlmostEqual(fresh.gain(PAIR, 50.0), 30.0, delta=4.0)
-        self.assertAlmostEqual(fresh.scatter(), 8.0, delta=2.5)
-
-    def test_what_is_told_again_counts_once(self):
-        fresh = Gains()
-        rows = seen(8.0, 30.0, 10).rows()
-        fresh.hear(VmName("vm-1"), rows)
-        once = fresh.gain(PAIR, 50.0)
-        fresh.hear(VmName("vm-1"), rows)
-        self.assertEqual(fresh.gain(PAIR, 50.0), once)
-
-    def test_what_was_heard_is_not_told_on(self):
-        fresh = Gains()
-        fresh.hear(VmName("vm-1"), seen(8.0, 30.0, 10).rows())
-        self.assertEqual(fresh.rows(), ())
+            new_vm.apply_peer_rows(
+                VmName(f"vm-{number}"), observed_gains(8.0, 30.0, 20, number).rows()
+            )
+        self.assertAlmostEqual(new_vm.gain(PAIR, 50.0), 30.0, delta=4.0)
+        self.assertAlmostEqual(new_vm.scatter(), 8.0, delta=2.5)
+
+    def test_repeated_counts_are_counted_once(self):
+        new_vm = Gains()
+        rows = observed_gains(8.0, 30.0, 10).rows()
+        new_vm.apply_peer_rows(VmName("vm-1"), rows)
+        once = new_vm.gain(PAIR, 50.0)
+        new_vm.apply_peer_rows(VmName("vm-1"), rows)
+        self.assertEqual(new_vm.gain(PAIR, 50.0), once)
+
+    def test_received_counts_are_not_forwarded(self):
+        new_vm = Gains()
+        new_vm.apply_peer_rows(VmName("vm-1"), observed_gains(8.0, 30.0, 10).rows())
+        self.assertEqual(new_vm.rows(), ())
 
 
 if __name__ == "__main__":
--- a/tests/state/routed/test_work.py
+++ b/tests/state/routed/test_work.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The reading of prompts that lies before each engine."""
+"""Tests of the estimated reading work that is queued at each engine."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from walnutquay.state.process.ids import EndpointName
 from walnutquay.state.routed.work import (
-    PACES,
+    RATE_SAMPLES,
     PromptWork,
     WorkTable,
     preferred_endpoint,
@@ -16,22 +16,23 @@
 )
 
 A, B = EndpointName("a"), EndpointName("b")
-# Seconds a token, and for how long engines keep what they have read.
+# The reading rate in seconds per token, and the time for which engines keep a prefix in
+# their cache; seconds.
 RATE = 20e-6
-KEPT = 30.0
+KEPT_SECONDS = 30.0
 
 
 def prompt(
     tokens: int, shared_prefix: str = "", shared_prefix_tokens: int = 0
 ) -> PromptWork:
-    """:returns: the reading of a prompt by the model ``m``."""
+    """Return the work of reading a prompt with the model ``m``."""
     return PromptWork("m", tokens, shared_prefix, shared_prefix_tokens)
 
 
 class WaitTest(unittest.TestCase):
-    """Reading adds up, and passes with time."""
+    """Queued reading work adds up, and decreases with time."""
 
-    def test_it_adds_up_and_passes(self):
+    def test_work_adds_up_and_decreases_with_time(self):
         table = WorkTable()
         table.add(A, 2.0, "", 10.0)
         table.add(A, 1.0, "", 10.5)
@@ -39,36 +40,40 @@
         self.assertEqual(table.wait(A, 20.0), 0.0)
         self.assertEqual(table.wait(B, 10.5), 0.0)
 
-    def test_what_is_cached_is_not_read_again(self):
+    def test_a_cached_prefix_is_not_read_again(self):
         table = WorkTable()
         table.learn("m", 10_000, 10_000 * RATE)
         work = prompt(1000, "subject", 800)
-        whole = table.reading(A, work, 0.0, False, KEPT)
+        whole = table.reading(A, work, 0.0, False, KEPT_SECONDS)
         self.assertAlmostEqual(whole, 1000 * RATE)
         table.add(A, whole, work.beginning, 0.0)
-        self.assertAlmostEqual(table.reading(A, work, 1.0, False, KEPT), 200 * RATE)
-        self.assertAlmostEqual(table.reading(B, work, 1.0, False, KEPT), whole)
-        self.assertAlmostEqual(table.reading(A, work, KEPT + 1, False, KEPT), whole)
-
-    def test_a_beginning_answer_proves_what_has_been_read(self):
+        self.assertAlmostEqual(
+            table.reading(A, work, 1.0, False, KEPT_SECONDS), 200 * RATE
+        )
+        self.assertAlmostEqual(table.reading(B, work, 1.0, False, KEPT_SECONDS), whole)
+        self.assertAlmostEqual(
+            table.reading(A, work, KEPT_SECONDS + 1, False, KEPT_SECONDS), whole
+        )
+
+    def test_the_start_of_an_answer_proves_that_its_prompt_was_read(self):
         table = WorkTable()
         table.add(A, 5.0, "", 0.0)
         second = table.add(A, 1.0, "", 0.0)
         table.add(A, 0.5, "", 0.1)
-        # Far sooner than was thought: only what came behind it is left.
+        # It was read far sooner than estimated; only the prompt sent after it is left.
         table.record_read(A, second, 0.2)
         self.assertAlmostEqual(table.wait(A, 0.2), 0.5)
         table.record_read(A, second, 0.4)
         self.assertAlmostEqual(table.wait(A, 0.4), 0.3)
 
-    def test_a_late_answer_takes_nothing_away(self):
+    def test_a_late_answer_leaves_later_work_queued(self):
         table = WorkTable()
         first = table.add(A, 1.0, "", 0.0)
         table.add(A, 2.0, "", 0.0)
         table.record_read(A, first, 2.5)
         self.assertAlmostEqual(table.wait(A, 2.5), 0.5)
 
-    def test_gone_engines_are_forgotten(self):
+    def test_removed_engines_are_forgotten(self):
         table = WorkTable()
         table.add(A, 5.0, "", 0.0)
         table.forget_except({B})
@@ -76,9 +81,9 @@
 
 
 class RateTest(unittest.TestCase):
-    """Reading times are learnt, and some odd times do not move them."""
+    """Reading rates are estimated, and outliers have little effect."""
 
-    def test_learning(self):
+    def test_an_outlier_has_little_effect(self):
         table = WorkTable()
         for _ in range(100):
             table.learn("m", 10_000, 0.3)
@@ -86,27 +91,27 @@
         table.learn("m", 10_000, 30.0)
         self.assertLess(table.rate("m"), 40e-6)
 
-    def test_any_pace_is_known_from_the_first_prompt(self):
+    def test_the_first_prompt_sets_the_rate(self):
         for rate in (1e-7, 1e-5, 1e-3):
             table = WorkTable()
             table.learn("m", 10_000, 10_000 * rate)
             self.assertAlmostEqual(table.rate("m"), rate)
 
-    def test_waits_that_are_not_known_do_not_make_a_model_slow(self):
+    def test_unknown_waits_do_not_raise_the_rate(self):
         table = WorkTable()
-        for number in range(PACES):
-            waited = 4.0 if number % 2 else 0.0
-            table.learn("m", 10_000, 0.3 + waited)
+        for number in range(RATE_SAMPLES):
+            wait = 4.0 if number % 2 else 0.0
+            table.learn("m", 10_000, 0.3 + wait)
         self.assertAlmostEqual(table.rate("m"), 30e-6)
 
-    def test_a_model_that_became_slower(self):
+    def test_the_rate_follows_a_model_that_becomes_slower(self):
         table = WorkTable()
         for seconds in (0.3, 3.0):
-            for _ in range(PACES):
+            for _ in range(RATE_SAMPLES):
                 table.learn("m", 10_000, seconds)
         self.assertAlmostEqual(table.rate("m"), 300e-6)
 
-    def test_what_others_have_learnt_counts_until_the_first_own_prompt(self):
+    def test_a_peer_rate_is_used_until_the_first_own_sample(self):
         table = WorkTable()
         table.apply_peer_rate("m", 5e-5)
         table.apply_peer_rate("n", 0.0)
@@ -115,33 +120,35 @@
         table.apply_peer_rate("m", 5e-5)
         self.assertAlmostEqual(table.rate("m"), 30e-6)
 
-    def test_short_prompts_say_nothing(self):
+    def test_short_prompts_are_ignored(self):
         table = WorkTable()
         table.learn("m", 10, 0.3)
         self.assertEqual(table.rate("m"), 0.0)
 
 
 class RankTest(unittest.TestCase):
-    """Prompts that are read sooner go first, on any scale of time."""
+    """Prompts with shorter reading times go first, on any time scale."""
 
-    def test_shorter_goes_first(self):
+    def test_a_shorter_reading_time_goes_first(self):
         for scale in (0.01, 1.0, 100.0):
-            ranks = [reading_rank(part * scale, scale) for part in (0.01, 0.1, 1.0)]
+            ranks = [
+                reading_rank(fraction * scale, scale) for fraction in (0.01, 0.1, 1.0)
+            ]
             self.assertEqual(ranks, sorted(ranks))
             self.assertEqual(len(set(ranks)), 3)
 
-    def test_within_bounds(self):
-        for reading, aim in ((0.0, 1.0), (1.0, 0.0), (1e-9, 1.0), (1e9, 1.0)):
-            self.assertIn(reading_rank(reading, aim), range(10))
+    def test_ranks_are_within_bounds(self):
+        for reading, objective in ((0.0, 1.0), (1.0, 0.0), (1e-9, 1.0), (1e9, 1.0)):
+            self.assertIn(reading_rank(reading, objective), range(10))
 
 
 class PreferredTest(unittest.TestCase):
-    """All VMs prefer the same engine for a beginning."""
+    """All VMs prefer the same engine for a prefix."""
 
-    def test_order_does_not_matter(self):
+    def test_the_order_of_engines_does_not_matter(self):
         names = [EndpointName(f"e{n}") for n in range(9)]
-        for shared_prefix in ("x", "y", "z"):
-            first = preferred_endpoint(names, shared_prefix)
-            self.assertEqual(first, preferred_endpoint(names[::-1], shared_prefix))
+        for prefix in ("x", "y", "z"):
+            first = preferred_endpoint(names, prefix)
+            self.assertEqual(first, preferred_endpoint(names[::-1], prefix))
         self.assertIsNone(preferred_endpoint(names, ""))
         self.assertIsNone(preferred_endpoint([], "x"))
--- a/walnutquay/coordination/routed/cascading.py
+++ b/walnutquay/coordination/routed/cascading.py
@@ -85,7 +85,7 @@
         """
         body = envelope.body
         assert isinstance(body, OpinionNews)
-        self.choice.gains.hear(VmName(envelope.vm), body.rows)
+        self.choice.gains.apply_peer_rows(VmName(envelope.vm), body.rows)
 
     def larger(
         self,
--- a/walnutquay/coordination/routed/cold.py
+++ b/walnutquay/coordination/routed/cold.py
@@ -259,6 +259,6 @@
             return False
         quota = self.quota(instance)
         assert quota is not None
-        self.endpoints.sent(instance.name, quota.count, now)
+        self.endpoints.record_send(instance.name, quota.count, now)
         self.context.metrics.count("cold_sent")
         return True
--- a/walnutquay/state/routed/__init__.py
+++ b/walnutquay/state/routed/__init__.py
@@ -1,8 +1,9 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Requests on the operators' routes: where prompts are read, and which model answers.
+"""Requests on the operators' routes: choice of engine and of model.
 
-Decided here: the reading that lies before each engine, the expected value of a larger
-model, and how many requests may be sent once more; from prompts that VMs have sent,
-answers' beginnings, and models' opinions of their answers.
+This package estimates the reading work (prefill) that is queued at each engine, the
+expected value of asking a larger model, and the number of retries that are allowed.
+The inputs are the prompts that VMs have sent, the times at which answers began, and
+the models' confidence in their answers.
 """
--- a/walnutquay/state/routed/cold.py
+++ b/walnutquay/state/routed/cold.py
@@ -1,12 +1,13 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Endpoints that are cold: which they are, and who may send them how much.
-
-An endpoint that has just started, or turns cold again, bears some requests a second and
-falls over when it gets many more.  It has nothing to do, so each of many VMs that look
-for a free endpoint finds it, and all of them together knock it over again.  What they
-may send it together is therefore given to a few of them, the keepers of that endpoint:
-each VM finds the same ones from the names alone, and no two need to agree.
+"""Cold endpoints: which endpoints are cold, and which VMs may send how much to them.
+
+An endpoint that has just started, or becomes cold again, can serve only a few requests
+a second and crashes when it gets many more.  Because it is idle, every VM that looks
+for a free endpoint picks it, and the sum of their requests crashes it again.  The
+request rate that a cold endpoint may receive is therefore divided among a few VMs,
+its assigned senders.  Each VM computes the same senders from the names alone, without
+any coordination.
 """
 
 from __future__ import annotations
@@ -19,36 +20,38 @@
 from walnutquay.state.fleet.membership import rendezvous
 from walnutquay.state.process.ids import EndpointName, VmName
 
-# What keepers may send together is this part of what operators allow: while lists of
-# VMs differ, up to two sets of keepers send.
-SAFE_PART = 0.5
-# The span in which operators count what reaches a cold endpoint; seconds.
+# The assigned senders together use at most this fraction of the operators' limit:
+# while VMs have different VM lists, up to two sets of senders are active.
+SAFETY_FACTOR = 0.5
+# The time window in which operators count the requests that reach a cold endpoint;
+# seconds.
 LIMIT_WINDOW_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class ColdLimit:
-    """What the cold endpoints of a service may get from all VMs together.
+    """The request rate that each cold endpoint of a service may get from all VMs.
 
-    :param per_second: requests a second that one bears; 0 where nothing is said.
-    :param most: requests that operators allow to reach one in any second.
+    :param per_second: requests a second that one endpoint can serve; 0 if not set.
+    :param max_per_second: the limit set by the operators on requests to one endpoint
+        in any second.
     """
 
     per_second: float
-    most: float
+    max_per_second: float
 
     @property
     def total(self) -> float:
-        """Requests that all keepers together may send in any second."""
-        return min(self.per_second, SAFE_PART * self.most)
+        """Requests that all assigned senders together may send in any second."""
+        return min(self.per_second, SAFETY_FACTOR * self.max_per_second)
 
 
 @dataclass(frozen=True, slots=True)
 class Quota:
-    """What one keeper may send to one cold endpoint.
+    """The requests that one assigned sender may send to one cold endpoint.
 
-    :param count: requests at the most, in any span of these seconds.
-    :param seconds: the span.
+    :param count: the maximum number of requests in any window of this length.
+    :param seconds: the length of the window.
     """
 
     count: int
@@ -56,24 +59,26 @@
 
 
 def sender_count(total: float, vms: int) -> int:
-    """Tell how many VMs share what a cold endpoint may get.
+    """Return the number of VMs that share the request rate of a cold endpoint.
 
-    As many as may each send a whole request in each second: what one of them may send
-    is lost while it has no request for that endpoint, and a VM that keeps none can
-    serve nobody if all endpoints are cold.
+    This is the largest number for which each VM may still send one whole request a
+    second.  With more senders, more of the rate would be lost, because a sender's share
+    is unused while it has no request for that endpoint.  With fewer, more VMs could not
+    serve any request while all endpoints are cold.
 
-    :param total: requests that all of them together may send in a second.
-    :param vms: VMs that could.
+    :param total: requests that all senders together may send in a second.
+    :param vms: the number of VMs to choose from.
     """
     return max(1, min(vms, math.floor(total)))
 
 
-def sender_quota(total: float, keepers: int) -> Quota:
-    """:param total: requests that all keepers together may send in a second.
+def sender_quota(total: float, senders: int) -> Quota:
+    """Return the quota of each assigned sender.
 
-    :param keepers: how many they are.
+    :param total: requests that all senders together may send in a second.
+    :param senders: the number of senders.
     """
-    each = total / keepers
+    each = total / senders
     if each >= 1.0:
         return Quota(math.floor(each), LIMIT_WINDOW_SECONDS)
     return Quota(1, LIMIT_WINDOW_SECONDS / max(each, 1e-9))
@@ -82,85 +87,91 @@
 def assigned_senders(
     endpoint: EndpointName, vms: Collection[VmName], count: int
 ) -> list[VmName]:
-    """Choose the VMs that may send to a cold endpoint; every VM chooses alike.
+    """Choose the VMs that may send to a cold endpoint; all VMs choose the same ones.
 
     :param endpoint: the endpoint.
-    :param vms: the VMs that could.
-    :param count: how many.
+    :param vms: the VMs to choose from.
+    :param count: the number of VMs to choose.
     """
     return [VmName(name) for name in rendezvous(endpoint, vms)[:count]]
 
 
 @dataclass(slots=True)
-class ColdFacts:
-    """What one VM knows of one endpoint that was ever cold.
+class ColdState:
+    """One VM's view of an endpoint that is or was cold.
 
-    :param until: until when it is cold; monotonic seconds.
-    :param sent: when this VM last sent it requests.
+    :param until: the time until which it is cold; monotonic seconds.
+    :param send_times: the times of this VM's last requests to it.
     """
 
     until: float
-    sent: deque[float] = field(default_factory=deque)
+    send_times: deque[float] = field(default_factory=deque)
 
 
 class ColdEndpoints:
-    """The endpoints that one VM believes to be cold, and what it has sent them."""
+    """The endpoints that one VM treats as cold, and the requests it has sent them."""
 
     def __init__(self) -> None:
-        self.facts: dict[EndpointName, ColdFacts] = {}
-        # Until when any endpoint may be cold; monotonic seconds.
+        self.states: dict[EndpointName, ColdState] = {}
+        # No endpoint is cold after this time; monotonic seconds.
         self.any_cold_until = -math.inf
 
     def set_cold_seconds(self, name: EndpointName, seconds: float, now: float) -> bool:
-        """Take in that an endpoint is cold, or for how long it still is.
+        """Set how much longer an endpoint stays cold.
 
         :param name: the endpoint.
-        :param seconds: how much longer; 0 where it is warm.
+        :param seconds: the remaining time; 0 if the endpoint is warm.
         :param now: monotonic seconds.
-        :returns: whether it was not known to be so.
+        :returns: whether the endpoint changed between cold and warm.
         """
         before = self.is_cold(name, now)
         self.any_cold_until = max(self.any_cold_until, now + seconds)
-        facts = self.facts.get(name)
-        if facts is not None:
-            facts.until = now + seconds
+        state = self.states.get(name)
+        if state is not None:
+            state.until = now + seconds
         elif seconds > 0:
-            self.facts[name] = ColdFacts(now + seconds)
+            self.states[name] = ColdState(now + seconds)
         return before != (seconds > 0)
 
     def is_cold(self, name: EndpointName, now: float) -> bool:
-        """:param name: an endpoint.
+        """Return whether an endpoint is cold.
 
+        :param name: the endpoint.
         :param now: monotonic seconds.
         """
-        facts = self.facts.get(name)
-        return facts is not None and facts.until > now
+        state = self.states.get(name)
+        return state is not None and state.until > now
 
     def seconds_left(self, name: EndpointName, quota: Quota, now: float) -> float:
-        """Tell when this VM, as one of its keepers, may send a cold endpoint one more.
+        """Return the time until this VM may send another request to a cold endpoint.
+
+        This VM must be one of the endpoint's assigned senders.
 
         :param name: the endpoint.
-        :param quota: what each keeper may send it.
+        :param quota: the quota of each assigned sender.
         :param now: monotonic seconds.
-        :returns: seconds until then; 0 for now.
+        :returns: seconds until then; 0 if a request may be sent now.
         """
-        facts = self.facts.get(name)
-        if facts is None or len(facts.sent) < quota.count:
+        state = self.states.get(name)
+        if state is None or len(state.send_times) < quota.count:
             return 0.0
-        return max(0.0, facts.sent[-quota.count] + quota.seconds - now)
+        return max(0.0, state.send_times[-quota.count] + quota.seconds - now)
 
-    def sent(self, name: EndpointName, most: int, now: float) -> None:
-        """Note that this VM sends a cold endpoint a request.
+    def record_send(self, name: EndpointName, max_times: int, now: float) -> None:
+        """Record that this VM sends a request to a cold endpoint.
 
         :param name: the endpoint.
-        :param most: how many of the last ones are to be remembered.
+        :param max_times: the number of send times to keep.
         :param now: monotonic seconds.
         """
-        facts = self.facts[name]
-        facts.sent.append(now)
-        while len(facts.sent) > most:
-            facts.sent.popleft()
+        state = self.states[name]
+        state.send_times.append(now)
+        while len(state.send_times) > max_times:
+            state.send_times.popleft()
 
     def forget(self, name: EndpointName) -> None:
-        """:param name: an endpoint that has ended."""
-        self.facts.pop(name, None)
+        """Remove an endpoint that no longer exists.
+
+        :param name: the endpoint.
+        """
+        self.states.pop(name, None)
--- a/walnutquay/state/routed/confidence.py
+++ b/walnutquay/state/routed/confidence.py
@@ -1,9 +1,10 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What a model's own opinion of its answer says about how good the answer is.
+"""The probability that an answer is good, given the model's confidence in it.
 
-Nobody tells whether an answer was good enough.  A model says how sure it is, from 0
-to 100; where a larger one answers the same request, it says so too.
+The router gets no feedback on whether an answer was good enough.  Each model reports
+its confidence in its own answer, from 0 to 100; if a larger model answers the same
+request, it reports its confidence too.
 """
 
 from __future__ import annotations
@@ -11,68 +12,78 @@
 import math
 from dataclasses import dataclass
 
-# The scale's end, and the opinion that says that either is as likely.
-FULL = 100.0
-EVEN = 50.0
-# How far opinions are taken to scatter around what an answer deserves until that is
-# known, in points: one such step above the middle they are right five times in six.
+# The end of the scale, and the confidence at which a good and a bad answer are equally
+# likely.
+MAX_CONFIDENCE = 100.0
+EVEN_CONFIDENCE = 50.0
+# The scatter (standard deviation) of confidence around the answer's actual merit that
+# is assumed until it has been estimated; points.  One scatter above the middle of the
+# scale, an answer is good in five cases of six.
 INITIAL_SCATTER = 15.0
-# Steps of the scale that are told apart.
-STEPS = 10
-# Observations that a first guess counts as.
+# The number of bins into which the scale is divided.
+BINS = 10
+# The weight of an initial guess, as a number of observations.
 GUESS_COUNT = 4.0
-# Older observations fade: the last hundred or so decide.
-MEMORY = 100.0
+# Older observations fade: about the last hundred determine an estimate.
+MAX_COUNT = 100.0
 
 
-def chance_good(opinion: float, scatter: float = INITIAL_SCATTER) -> float:
-    """:param opinion: a model's opinion of its answer, 0 to 100.
+def chance_good(confidence: float, scatter: float = INITIAL_SCATTER) -> float:
+    """Return the probability that an answer is good enough.
 
-    :param scatter: how far opinions scatter around what an answer deserves; points.
-    :returns: the chance that the answer is good enough.
+    :param confidence: the model's confidence in its answer, 0 to 100.
+    :param scatter: the standard deviation of confidence around the answer's actual
+        merit; points.
     """
-    return 0.5 * (1.0 + math.erf((opinion - EVEN) / (scatter * math.sqrt(2.0))))
+    return 0.5 * (
+        1.0 + math.erf((confidence - EVEN_CONFIDENCE) / (scatter * math.sqrt(2.0)))
+    )
 
 
-def inside(opinion: float) -> bool:
-    """:param opinion: an opinion.
+def is_unclipped(confidence: float) -> bool:
+    """Return whether a confidence lies strictly between the ends of the scale.
 
-    :returns: whether it is not cut off at an end of the scale.
+    :param confidence: a model's confidence in its answer.
     """
-    return 0.0 < opinion < FULL
+    return 0.0 < confidence < MAX_CONFIDENCE
 
 
-def step_of(opinion: float) -> int:
-    """:param opinion: an opinion.
+def bin_of(confidence: float) -> int:
+    """Return the bin of the scale that a confidence falls into, starting from 0.
 
-    :returns: its step of the scale, from 0.
+    :param confidence: a model's confidence in its answer.
     """
-    return min(STEPS - 1, max(0, int(opinion / FULL * STEPS)))
+    return min(BINS - 1, max(0, int(confidence / MAX_CONFIDENCE * BINS)))
 
 
 @dataclass(slots=True)
 class FadingMean:
-    """A mean in which older observations fade, beside a guess that may change.
+    """A mean with fading observations, combined with an initial guess.
 
-    :param total: the sum of the observations, faded.
-    :param count: how many they stand for.
+    The guess is not stored, so it may differ from call to call.
+
+    :param total: the faded sum of the observations.
+    :param count: the faded number of observations.
     """
 
     total: float = 0.0
     count: float = 0.0
 
-    def add(self, seen: float) -> None:
-        """:param seen: a new observation."""
-        if self.count >= MEMORY:
-            left = (MEMORY - 1.0) / self.count
-            self.total *= left
-            self.count *= left
-        self.total += seen
+    def add(self, observation: float) -> None:
+        """Add an observation.
+
+        :param observation: its value.
+        """
+        if self.count >= MAX_COUNT:
+            remaining = (MAX_COUNT - 1.0) / self.count
+            self.total *= remaining
+            self.count *= remaining
+        self.total += observation
         self.count += 1.0
 
     def value(self, guess: float) -> float:
-        """:param guess: what is expected without observations.
+        """Return the mean, which stays close to the guess while there are few values.
 
-        :returns: the mean, drawn to the guess while there are few.
+        :param guess: the value that is expected without observations.
         """
         return (guess * GUESS_COUNT + self.total) / (GUESS_COUNT + self.count)
--- a/walnutquay/state/routed/gains.py
+++ b/walnutquay/state/routed/gains.py
@@ -1,9 +1,9 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""How much more larger models think of their answers, and how far opinions scatter.
+"""The confidence gain of larger models, and the scatter of confidence.
 
-Both follow from pairs of opinions on the same request.  One VM sees few of them, so
-VMs tell each other what they have seen.
+Both are estimated from pairs of confidence values for the same request.  One VM alone
+observes few of them, so VMs send their counts to each other.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from walnutquay.state.routed.confidence import (
     GUESS_COUNT,
     INITIAL_SCATTER,
-    MEMORY,
-    inside,
+    MAX_COUNT,
+    is_unclipped,
 )
 
 
@@ -25,8 +25,8 @@
 class ModelPair:
     """Two models that have answered the same request, one after the other.
 
-    :param smaller: the first.
-    :param larger: the second.
+    :param smaller: the model that answered first.
+    :param larger: the model that answered second.
     """
 
     smaller: ModelName
@@ -35,11 +35,11 @@
 
 @dataclass(frozen=True, slots=True)
 class GainCounts:
-    """Differences of pairs of opinions, second less first, faded.
+    """Faded sums over the differences in confidence, second minus first.
 
-    :param count: how many pairs they stand for.
-    :param total: their sum; points.
-    :param squares: the sum of their squares.
+    :param count: the faded number of pairs.
+    :param total: the sum of the differences; points.
+    :param squares: the sum of the squared differences.
     """
 
     count: float = 0.0
@@ -47,35 +47,35 @@
     squares: float = 0.0
 
     def with_pair(self, difference: float) -> GainCounts:
-        """:param difference: of one more pair.
+        """Return the counts with one more pair; older pairs fade.
 
-        :returns: the counts with it; older pairs fade.
+        :param difference: the difference in confidence of the pair.
         """
-        left = min(1.0, (MEMORY - 1.0) / self.count) if self.count else 1.0
+        remaining = min(1.0, (MAX_COUNT - 1.0) / self.count) if self.count else 1.0
         return GainCounts(
-            self.count * left + 1.0,
-            self.total * left + difference,
-            self.squares * left + difference * difference,
+            self.count * remaining + 1.0,
+            self.total * remaining + difference,
+            self.squares * remaining + difference * difference,
         )
 
     @property
     def deviations(self) -> float:
-        """The sum of the squared distances from their mean."""
+        """The sum of the squared deviations from the mean difference."""
         if not self.count:
             return 0.0
         return max(0.0, self.squares - self.total * self.total / self.count)
 
 
-# What is known of a pair that was never seen.
-NOTHING = GainCounts()
+# The counts of two models for which no pair has been observed.
+NO_PAIRS = GainCounts()
 
 
 @dataclass(frozen=True, slots=True)
 class GainRow:
-    """What one VM has seen of two models.
+    """The counts of one VM for two models.
 
     :param pair: the models.
-    :param counts: what it has seen.
+    :param counts: the VM's counts for them.
     """
 
     pair: ModelPair
@@ -83,66 +83,70 @@
 
 
 class Gains:
-    """What is known from pairs of opinions, of this VM and of the others."""
+    """Estimates from the confidence pairs that this VM and its peers have observed."""
 
     def __init__(self) -> None:
         self.own: dict[ModelPair, GainCounts] = {}
-        # What each other VM has told last; it stands in place of what it told before.
-        self.told: dict[ModelPair, dict[VmName, GainCounts]] = {}
+        # The counts that each peer sent last; they replace its earlier ones.
+        self.peer_counts: dict[ModelPair, dict[VmName, GainCounts]] = {}
 
     def add(self, pair: ModelPair, first: float, second: float) -> None:
-        """Learn from two opinions; those at the ends of the scale are cut off there.
+        """Add a pair of confidence values; ignore it if either is clipped.
+
+        Values at the ends of the scale are clipped there, so that their difference is
+        not known.
 
         :param pair: the models.
-        :param first: the smaller one's opinion.
-        :param second: the larger one's.
+        :param first: the smaller model's confidence.
+        :param second: the larger model's confidence.
         """
-        if inside(first) and inside(second):
+        if is_unclipped(first) and is_unclipped(second):
             before = self.own.get(pair, GainCounts())
             self.own[pair] = before.with_pair(second - first)
 
-    def hear(self, vm: VmName, rows: Iterable[GainRow]) -> None:
-        """Take in what another VM has seen.
+    def apply_peer_rows(self, vm: VmName, rows: Iterable[GainRow]) -> None:
+        """Replace the counts of a peer.
 
-        :param vm: the VM.
-        :param rows: all that it has seen.
+        :param vm: the peer.
+        :param rows: all of its counts.
         """
-        for told in self.told.values():
-            told.pop(vm, None)
+        for counts_by_vm in self.peer_counts.values():
+            counts_by_vm.pop(vm, None)
         for row in rows:
-            self.told.setdefault(row.pair, {})[vm] = row.counts
+            self.peer_counts.setdefault(row.pair, {})[vm] = row.counts
 
     def rows(self) -> tuple[GainRow, ...]:
-        """:returns: what this VM has seen itself."""
+        """Return the counts that this VM has observed itself."""
         return tuple(GainRow(pair, counts) for pair, counts in self.own.items())
 
     def gain(self, pair: ModelPair, guess: float) -> float:
-        """:param pair: two models.
+        """Return how much higher the larger model's confidence is; points.
 
-        :param guess: what is expected without any pair; points.
-        :returns: how many points more the larger one thinks of its answers.
+        :param pair: two models.
+        :param guess: the gain that is expected without observations; points.
         """
-        counts = self._counts(pair)
+        counts = self._merged_counts(pair)
         return (guess * GUESS_COUNT + counts.total) / (GUESS_COUNT + counts.count)
 
     def scatter(self) -> float:
-        """:returns: how far an opinion scatters; points.
+        """Return the standard deviation of a single confidence value; points.
 
-        The difference of two scatters with the root of two of that.
+        The difference of two values has the square root of two times that deviation.
         """
-        pairs = self.own.keys() | self.told.keys()
-        counts = [self._counts(pair) for pair in pairs]
+        pairs = self.own.keys() | self.peer_counts.keys()
+        counts = [self._merged_counts(pair) for pair in pairs]
         seen = sum(item.count for item in counts)
         deviations = sum(item.deviations for item in counts) / 2.0
-        first = INITIAL_SCATTER * INITIAL_SCATTER * GUESS_COUNT
-        return math.sqrt((first + deviations) / (GUESS_COUNT + seen))
-
-    def _counts(self, pair: ModelPair) -> GainCounts:
-        """Put together what all VMs have seen of a pair."""
-        # By plain numbers: each request asks several times, and 90 VMs tell.
-        own = self.own.get(pair, NOTHING)
+        initial = INITIAL_SCATTER * INITIAL_SCATTER * GUESS_COUNT
+        return math.sqrt((initial + deviations) / (GUESS_COUNT + seen))
+
+    def _merged_counts(self, pair: ModelPair) -> GainCounts:
+        """Return the sum of the counts of all VMs for a pair of models."""
+        # Adds plain numbers, because this is called several times for each request and
+        # 90 VMs may have sent counts.
+        own = self.own.get(pair, NO_PAIRS)
         count, total, squares = own.count, own.total, own.squares
-        for counts in self.told.get(pair, {}).values():
+        for counts in self.peer_counts.get(pair, {}).values():
             count += counts.count
             total += counts.total
             squares += counts.squares
--- a/walnutquay/state/routed/prompts.py
+++ b/walnutquay/state/routed/prompts.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What a router knows of a prompt: its size, and which parts others share."""
+"""The size of a prompt and the parts that it shares with other prompts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 class PromptPart:
     """A part of a prompt that other prompts may share.
 
-    :param name: what stands for its words.
+    :param name: an identifier of the part's text.
     :param tokens: its size.
     """
 
@@ -23,11 +23,12 @@
 class Prompt:
     """The size of a prompt and its parts.
 
-    :param tokens: tokens to read.
-    :param max_output_tokens: the most tokens that may be written.
-    :param expected_output_tokens: the caller's guess of how many will be; 0 for none.
-    :param parts: its parts in order; the last is the request's own or its
-        session's, the others are shared.
+    :param tokens: the number of tokens in the prompt.
+    :param max_output_tokens: the maximum number of tokens to generate.
+    :param expected_output_tokens: the caller's estimate of the number of tokens that
+        will be generated; 0 if not given.
+    :param parts: its parts in order; the last belongs to this request or session only,
+        the others are shared.
     """
 
     tokens: int = 0
@@ -37,10 +38,10 @@
 
     @property
     def shared_prefix(self) -> str:
-        """What stands for the longest beginning that other prompts share."""
+        """The identifier of the longest prefix that other prompts share."""
         return self.parts[-2].name if len(self.parts) > 1 else ""
 
     @property
     def shared_prefix_tokens(self) -> int:
-        """Tokens of that beginning."""
+        """The number of tokens in that prefix."""
         return sum(part.tokens for part in self.parts[:-1])
--- a/walnutquay/state/routed/retries.py
+++ b/walnutquay/state/routed/retries.py
@@ -1,11 +1,11 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""How many requests one VM may send once more, within a span of time.
+"""The number of retries that one VM may make within a sliding time window.
 
-The platform bounds the repeated requests of the whole fleet in any span of some
-seconds, by a share of the first tries in it and a reserve.  Each VM keeps to the share
-of its own first tries, and to its part of the reserve; so all together keep to the
-bound, without a word between them.
+The platform limits the retries of the whole fleet in any window of some seconds to a
+share of the first attempts in it plus a reserve.  Each VM limits its retries to the
+share of its own first attempts plus its part of the reserve, so the fleet as a whole
+respects the limit without any communication.
 """
 
 from __future__ import annotations
@@ -13,18 +13,19 @@
 from collections import deque
 from dataclasses import dataclass
 
-# Times are counted in so many slots of the span: a VM keeps some 20 numbers, however
-# many requests it gets, and loses a twentieth of its first tries by it.
-SLOTS = 20
+# The window is divided into this number of intervals.  A VM stores some 20 counters
+# regardless of its request rate, and in return ignores one twentieth of its first
+# attempts.
+INTERVALS = 20
 
 
 @dataclass(slots=True)
-class Slot:
-    """What was sent in one slot of time.
+class Interval:
+    """The requests that were sent in one interval of the window.
 
-    :param number: which slot.
-    :param first: first tries.
-    :param repeated: requests that were sent once more.
+    :param number: the interval's number.
+    :param first: first attempts.
+    :param repeated: retries.
     """
 
     number: int
@@ -33,63 +34,67 @@
 
 
 class RetryWindow:
-    """Counts first tries and retries over a sliding span.
+    """Counts first attempts and retries over a sliding window.
 
-    A bucket instead holds no more than this VM's part of the reserve.  Where each of
-    195 VMs gets 1.3 requests a second, some three at a time, and three of five are to
-    be sent on, it refuses 41 in 100 of these, and this 1.5 (simulated).
+    A token bucket could hold no more than this VM's part of the reserve.  With 195 VMs
+    that each get 1.3 requests a second, some three at a time, of which three in five
+    are to be retried, a bucket refuses 41 in 100 retries and this window 1.5
+    (simulated).
 
-    :param share: retries for each first try.
-    :param reserve: retries besides, in each span.
-    :param seconds: the span.
+    :param share: the number of retries for each first attempt.
+    :param reserve: the number of additional retries in each window.
+    :param seconds: the length of the window.
     """
 
     def __init__(self, share: float, reserve: float, seconds: float) -> None:
         self.share = share
         self.reserve = reserve
-        self.slot_seconds = seconds / SLOTS
-        self.slots: deque[Slot] = deque()
+        self.interval_seconds = seconds / INTERVALS
+        self.intervals: deque[Interval] = deque()
 
     def first_try(self, now: float) -> None:
-        """Count a first try.
+        """Count a first attempt.
 
         :param now: monotonic seconds.
         """
-        self._slot(now).first += 1
+        self._interval(now).first += 1
 
     def take(self, now: float) -> bool:
-        """:param now: monotonic seconds.
+        """Count a retry if one is allowed.
 
-        :returns: whether one retry may be made; it is then counted.
+        :param now: monotonic seconds.
+        :returns: whether the retry is allowed.
         """
         if self.left(now) < 1.0:
             return False
-        self._slot(now).repeated += 1
+        self._interval(now).repeated += 1
         return True
 
     def left(self, now: float) -> float:
-        """:param now: monotonic seconds.
+        """Return the number of retries that are allowed now.
 
-        :returns: how many retries may be made now.
+        :param now: monotonic seconds.
         """
-        self._forget(now)
-        # The oldest slot may lie in the span in part: its retries count, and its first
-        # tries do not.
-        oldest = self._number(now) - SLOTS
-        first = sum(slot.first for slot in self.slots if slot.number > oldest)
-        repeated = sum(slot.repeated for slot in self.slots)
+        self._drop_expired(now)
+        # The window may cover only a part of the oldest interval.  To stay within the
+        # limit, its retries are counted and its first attempts are not.
+        oldest = self._number(now) - INTERVALS
+        first = sum(
+            interval.first for interval in self.intervals if interval.number > oldest
+        )
+        repeated = sum(interval.repeated for interval in self.intervals)
         return self.share * first + self.reserve - repeated
 
     def _number(self, now: float) -> int:
-        return int(now // self.slot_seconds)
+        return int(now // self.interval_seconds)
 
-    def _slot(self, now: float) -> Slot:
+    def _interval(self, now: float) -> Interval:
         number = self._number(now)
-        if not self.slots or self.slots[-1].number < number:
-            self.slots.append(Slot(number))
-        return self.slots[-1]
-
-    def _forget(self, now: float) -> None:
-        oldest = self._number(now) - SLOTS
-        while self.slots and self.slots[0].number < oldest:
-            self.slots.popleft()
+        if not self.intervals or self.intervals[-1].number < number:
+            self.intervals.append(Interval(number))
+        return self.intervals[-1]
+
+    def _drop_expired(self, now: float) -> None:
+        oldest = self._number(now) - INTERVALS
+        while self.intervals and self.intervals[0].number < oldest:
+            self.intervals.popleft()
--- a/walnutquay/state/routed/traffic.py
+++ b/walnutquay/state/routed/traffic.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What the engines of a service get to read at present, by what one VM sends them."""
+"""The load of prompts on a service's engines, estimated from one VM's own prompts."""
 
 from __future__ import annotations
 
@@ -9,13 +9,16 @@
 
 from walnutquay.state.routed.modelchoice import Demand
 
-# So many prompts are looked back on: as few as give a rate within a quarter or so.
-PROMPTS = 16
-# All prompts of so long a time are, however many.  Callers send some requests at a
-# time, and a rate that is read off three of them within 10 ms is a hundred times too
-# high: one of 195 VMs would take engines for full, and ask no larger model.
+# The minimum number of recent prompts used: the smallest that gives the rate to within
+# about a quarter.
+MIN_PROMPTS = 16
+# All prompts within this time are used, regardless of their number.  Callers send
+# several requests at once, and a rate computed from three of them within 10 ms is a
+# hundred times too high: one of 195 VMs would treat engines as full and ask no larger
+# model.
 SPAN_SECONDS = 2.0
-# The most that are kept: the prompts of that time at a VM that gets 128 a second.
+# The maximum number of prompts kept: the prompts within that time at a VM that gets 128
+# a second.
 MAX_PROMPTS = 256
 
 
@@ -23,10 +26,10 @@
 class SentPrompt:
     """A prompt that this VM has sent to an engine.
 
-    :param at: when; monotonic seconds.
+    :param at: the time it was sent; monotonic seconds.
     :param tokens: its size.
     :param seconds: the time to read it.
-    :param weight: what its request counts beside others.
+    :param weight: the weight of its request relative to others.
     """
 
     at: float
@@ -36,23 +39,28 @@
 
 
 class PromptTraffic:
-    """The last prompts that one VM has sent to a service.
+    """The most recent prompts that one VM has sent to a service.
 
-    Other VMs are taken to send as many: callers are spread evenly over them.
+    Other VMs are assumed to send the same number of prompts, because callers are spread
+    evenly over VMs.
     """
 
     def __init__(self) -> None:
         self.prompts: deque[SentPrompt] = deque(maxlen=MAX_PROMPTS)
 
     def add(self, prompt: SentPrompt) -> None:
-        """:param prompt: a prompt that is sent now."""
+        """Add a prompt.
+
+        :param prompt: a prompt that is sent now.
+        """
         self.prompts.append(prompt)
 
     def demand(self, now: float, vms: int, engines: int) -> Demand:
-        """:param now: monotonic seconds.
+        """Estimate the load on each engine.
 
-        :param vms: entry VMs that send prompts.
-        :param engines: engines that get them.
+        :param now: monotonic seconds.
+        :param vms: the number of entry VMs that send prompts.
+        :param engines: the number of engines that get them.
         """
         prompts = self._recent(now)
         if len(prompts) < 2:
@@ -69,14 +77,15 @@
     def kept_seconds(
         self, now: float, vms: int, engines: int, memory_tokens: int
     ) -> float:
-        """Estimate how long an engine keeps what it has read.
+        """Estimate how long an engine keeps a prompt in its cache.
 
-        What was unused the longest gives way when its memory is full.
+        When its memory is full, an engine evicts the least recently used entries.
 
         :param now: monotonic seconds.
-        :param vms: entry VMs that send prompts.
-        :param engines: engines that get them.
-        :param memory_tokens: tokens that an engine's memory holds.
+        :param vms: the number of entry VMs that send prompts.
+        :param engines: the number of engines that get them.
+        :param memory_tokens: the number of tokens that fit in an engine's memory.
+        :returns: seconds; infinite if there are too few prompts for an estimate.
         """
         prompts = self._recent(now)
         if len(prompts) < 2:
@@ -86,13 +95,13 @@
         return memory_tokens / max(1.0, tokens * vms / max(1, engines) / span)
 
     def _recent(self, now: float) -> list[SentPrompt]:
-        """Give the last prompts, and all others of the last seconds."""
+        """Return the last prompts, and any earlier ones within the time span."""
         prompts = list(self.prompts)
-        first = max(0, len(prompts) - PROMPTS)
+        first = max(0, len(prompts) - MIN_PROMPTS)
         while first > 0 and prompts[first - 1].at > now - SPAN_SECONDS:
             first -= 1
         return prompts[first:]
 
     def _span(self, prompts: list[SentPrompt], now: float) -> float:
-        """Give the time that prompts stand for; seconds."""
+        """Return the time that the prompts cover; seconds."""
         return max(SPAN_SECONDS, now - prompts[0].at)
--- a/walnutquay/state/routed/work.py
+++ b/walnutquay/state/routed/work.py
@@ -1,10 +1,10 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""How much reading of prompts lies before each engine, and what each has cached.
+"""The reading work (prefill) queued at each engine, and the prompts it has cached.
 
-An engine reads prompts one after the other, so a long one delays all that come
-after it.  Reports of load count requests and come late; this table counts tokens,
-of this VM's own requests and of those that the other VMs tell.
+An engine reads prompts one after another, so a long one delays all that come after it.
+Load reports count requests and arrive late.  This table counts tokens, both of this
+VM's own requests and of the requests that other VMs announce.
 """
 
 from __future__ import annotations
@@ -19,33 +19,36 @@
 from walnutquay.state.process.counts import LatestTable
 from walnutquay.state.process.ids import EndpointName
 
-# Times are learnt from prompts of this size, whose reading outweighs the rest.
-MIN_LEARNT_TOKENS = 1_000
-# The pace of a model is that which so many of its last prompts were read at least as
-# slowly as: waits that are not known make some seem slower than they were.
-PACES = 25
-PACE_QUANTILE = 0.3
-# The ranks that prompts may get at an engine, from what is read in no time to what
-# takes the whole aim or more; each is twice as long as the one before.
+# Reading rates are measured only on prompts of at least this size, because their time
+# to the first token is mostly reading time.
+MIN_SAMPLE_TOKENS = 1_000
+# The reading rate of a model, in seconds per token, is this quantile of this number of
+# its last samples.  It lies below the median because waits that this VM does not know
+# of make some prompts seem slower than they were.
+RATE_SAMPLES = 25
+RATE_QUANTILE = 0.3
+# The ranks that prompts may get at an engine, from a negligible reading time to one of
+# the whole objective or more; each rank stands for twice the time of the previous one.
 FIRST_RANK, LAST_RANK = 2, 8
-WHOLE_AIM_RANK = 9
-# Beginnings that are remembered, over all engines.
-MAX_BEGINNINGS = 20_000
-# The chance that the engine which all VMs prefer for a beginning has it, where nobody
-# has told of it: prompts that are read long are told of, but for datagrams that are
-# lost.  It decides among engines that are as good otherwise, and alike on all VMs.
+OBJECTIVE_RANK = 9
+# The maximum number of cached prefixes that are tracked, over all engines.
+MAX_PREFIXES = 20_000
+# The probability that the preferred engine for a prefix has cached it although no VM
+# has announced this.  Prompts with a long reading time are announced, but datagrams may
+# be lost.  The value breaks ties between otherwise equal engines, in the same way on
+# all VMs.
 PREFERRED_CHANCE = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class PromptWork:
-    """The reading of one prompt by one model.
+    """The work of reading one prompt with one model.
 
     :param model: the model.
-    :param tokens: tokens of the whole prompt.
-    :param shared_prefix: what stands for the longest beginning that others share; empty
-        for none.
-    :param shared_prefix_tokens: tokens of that beginning.
+    :param tokens: the number of tokens in the whole prompt.
+    :param shared_prefix: the identifier of the longest prefix that other prompts share;
+        empty if there is none.
+    :param shared_prefix_tokens: the number of tokens in that prefix.
     """
 
     model: str
@@ -55,70 +58,76 @@
 
     @property
     def beginning(self) -> str:
-        """What stands for what an engine keeps: the beginning, read by this model."""
+        """The key of the cache entry for the shared prefix, as read by this model.
+
+        Empty if there is no shared prefix.
+        """
         if not self.shared_prefix:
             return ""
         return xxhash.xxh3_64_hexdigest(f"{self.model}\n{self.shared_prefix}".encode())
 
 
 class WorkTable:
-    """What one VM believes of the reading that lies before each engine."""
+    """One VM's estimate of the reading work queued at each engine."""
 
     def __init__(self) -> None:
-        # When each engine will have read all that is known to be before it.
+        # The time at which each engine will have finished all known reading work.
         self.busy_until: dict[EndpointName, float] = {}
-        # All reading that each engine was ever given; seconds.
-        self.given: dict[EndpointName, float] = {}
-        # Seconds a token, by model, and the last ones seen.
+        # The total reading time of all prompts ever sent to each engine; seconds.
+        self.total_seconds: dict[EndpointName, float] = {}
+        # The reading rate of each model in seconds per token, and its last samples.
         self.rates: dict[str, float] = {}
-        self.paces: dict[str, deque[float]] = {}
-        # When each engine was last sent each beginning.
-        self.sent: LatestTable[tuple[EndpointName, str], list[float]] = LatestTable(
-            MAX_BEGINNINGS, list
+        self.rate_samples: dict[str, deque[float]] = {}
+        # The time at which each prefix was last sent to each engine.
+        self.last_sent: LatestTable[tuple[EndpointName, str], list[float]] = (
+            LatestTable(MAX_PREFIXES, list)
         )
 
     def rate(self, model: str) -> float:
-        """:param model: a model.
+        """Return the reading rate of a model.
 
-        :returns: seconds in which it reads a token; 0 until that is known.
+        :param model: the model.
+        :returns: seconds per token; 0 if not known yet.
         """
         return self.rates.get(model, 0.0)
 
     def learn(self, model: str, tokens: int, seconds: float) -> None:
-        """Learn from a prompt that was read with nothing known to be before it.
+        """Update a model's rate from a prompt sent to an engine with no known work.
 
         :param model: the model.
         :param tokens: the prompt's size.
-        :param seconds: until the answer began.
+        :param seconds: the time until the answer began.
         """
-        if tokens < MIN_LEARNT_TOKENS:
+        if tokens < MIN_SAMPLE_TOKENS:
             return
-        seen = self.paces.setdefault(model, deque(maxlen=PACES))
-        seen.append(seconds / tokens)
-        self.rates[model] = sorted(seen)[int(PACE_QUANTILE * len(seen))]
+        samples = self.rate_samples.setdefault(model, deque(maxlen=RATE_SAMPLES))
+        samples.append(seconds / tokens)
+        self.rates[model] = sorted(samples)[int(RATE_QUANTILE * len(samples))]
 
     def apply_peer_rate(self, model: str, rate: float) -> None:
-        """Take over what another VM has learnt, where nothing was learnt here.
+        """Adopt a peer's rate for a model if this VM has no samples of its own.
 
         :param model: the model.
-        :param rate: seconds in which it reads a token.
+        :param rate: the reading rate; seconds per token.
         """
-        if model and rate > 0 and model not in self.paces:
+        if model and rate > 0 and model not in self.rate_samples:
             self.rates[model] = rate
 
     def wait(self, name: EndpointName, now: float) -> float:
-        """:param name: an engine.
+        """Return the time until an engine has finished all known reading work.
 
+        :param name: the engine.
         :param now: monotonic seconds.
-        :returns: seconds until it has read all that is known to be before it.
+        :returns: seconds.
         """
         return self.waits([name], now)[0]
 
     def waits(self, names: Sequence[EndpointName], now: float) -> list[float]:
-        """:param names: engines.
+        """Return the time until each engine has finished all known reading work.
 
+        :param names: the engines.
         :param now: monotonic seconds.
-        :returns: for each, seconds until it has read all that is known to be before it.
+        :returns: seconds for each of them.
         """
         until = self.busy_until.get
         return [max(0.0, until(name, now) - now) for name in names]
@@ -126,28 +135,30 @@
     def has_cached(
         self, name: EndpointName, beginning: str, now: float, kept: float
     ) -> bool:
-        """:param name: an engine.
+        """Return whether an engine is likely to have a prefix in its cache.
 
-        :param beginning: a beginning; see :attr:`PromptWork.beginning`.
+        :param name: the engine.
+        :param beginning: the key of the prefix; see :attr:`PromptWork.beginning`.
         :param now: monotonic seconds.
-        :param kept: seconds for which engines keep what they have read.
-        :returns: whether it was sent that beginning within that time.
+        :param kept: seconds for which engines keep a prefix in their cache.
+        :returns: whether the engine was sent that prefix within this time.
         """
-        return self.holders([name], beginning, now, kept)[0]
+        return self.cached_at([name], beginning, now, kept)[0]
 
-    def holders(
+    def cached_at(
         self, names: Sequence[EndpointName], beginning: str, now: float, kept: float
     ) -> list[bool]:
-        """:param names: engines.
+        """Return for each engine whether it is likely to have a prefix in its cache.
 
-        :param beginning: a beginning.
+        :param names: the engines.
+        :param beginning: the key of the prefix; see :attr:`PromptWork.beginning`.
         :param now: monotonic seconds.
-        :param kept: seconds for which engines keep what they have read.
-        :returns: for each, whether it was sent that beginning within that time.
+        :param kept: seconds for which engines keep a prefix in their cache.
+        :returns: for each engine, whether it was sent that prefix within this time.
         """
-        sent = self.sent.entries
-        found = [sent.get((name, beginning)) for name in names]
-        return [bool(times) and now - times[0] < kept for times in found]
+        last_sent = self.last_sent.entries
+        entries = [last_sent.get((name, beginning)) for name in names]
+        return [bool(times) and now - times[0] < kept for times in entries]
 
     def reading(
         self,
@@ -157,17 +168,17 @@
         preferred: bool,
         kept: float,
     ) -> float:
-        """Estimate the time to read a prompt.
+        """Estimate the time that an engine needs to read a prompt.
 
         :param name: the engine.
         :param work: the prompt.
         :param now: monotonic seconds.
-        :param preferred: whether all VMs prefer this engine for its beginning.
-        :param kept: seconds for which engines keep what they have read.
-        :returns: seconds, without the wait before it.
+        :param preferred: whether all VMs prefer this engine for the prompt's prefix.
+        :param kept: seconds for which engines keep a prefix in their cache.
+        :returns: seconds, without the wait for earlier prompts.
         """
-        preferring = {name} if preferred else set()
-        return self.readings([name], work, now, preferring, kept)[0]
+        preferred_names = {name} if preferred else set()
+        return self.readings([name], work, now, preferred_names, kept)[0]
 
     def readings(
         self,
@@ -177,107 +188,116 @@
         preferred: Collection[EndpointName | None],
         kept: float,
     ) -> list[float]:
-        """Estimate the time to read a prompt at each of some engines.
+        """Estimate the time that each engine needs to read a prompt.
 
         :param names: the engines.
         :param work: the prompt.
         :param now: monotonic seconds.
-        :param preferred: those that all VMs prefer for its beginning.
-        :param kept: seconds for which engines keep what they have read.
-        :returns: seconds for each of them, without the wait before it.
+        :param preferred: the engines that all VMs prefer for the prompt's prefix.
+        :param kept: seconds for which engines keep a prefix in their cache.
+        :returns: seconds for each engine, without the wait for earlier prompts.
         """
-        new = self._seconds(work, 0.0)
+        uncached = self._read_seconds(work, 0.0)
         if not work.shared_prefix:
-            return [new] * len(names)
-        found = self._seconds(work, 1.0)
-        likely = self._seconds(work, PREFERRED_CHANCE)
-        holders = self.holders(names, work.beginning, now, kept)
+            return [uncached] * len(names)
+        cached = self._read_seconds(work, 1.0)
+        expected = self._read_seconds(work, PREFERRED_CHANCE)
+        in_cache = self.cached_at(names, work.beginning, now, kept)
         return [
-            found if holds else likely if name in preferred else new
-            for name, holds in zip(names, holders, strict=True)
+            cached if is_cached else expected if name in preferred else uncached
+            for name, is_cached in zip(names, in_cache, strict=True)
         ]
 
-    def _seconds(self, work: PromptWork, chance: float) -> float:
-        """Give the time to read a prompt whose beginning is kept with some chance."""
+    def _read_seconds(self, work: PromptWork, chance: float) -> float:
+        """Return the time to read a prompt whose prefix is cached with some chance."""
         tokens = float(work.tokens) - chance * work.shared_prefix_tokens
         return max(0.0, tokens) * self.rate(work.model)
 
     def add(
         self, name: EndpointName, seconds: float, beginning: str, now: float
     ) -> float:
-        """Note that an engine was sent a prompt.
+        """Record that a prompt was sent to an engine.
 
         :param name: the engine.
-        :param seconds: how long it will take to read it.
-        :param beginning: what it has cached from then on; empty for nothing.
+        :param seconds: the time that the engine will need to read it.
+        :param beginning: the key of the prefix that the engine caches; empty for none.
         :param now: monotonic seconds.
-        :returns: a mark for :meth:`record_read`.
+        :returns: the engine's total reading time up to and including this prompt, for
+            :meth:`record_read`.
         """
         self.busy_until[name] = now + self.wait(name, now) + seconds
-        mark = self.given[name] = self.given.get(name, 0.0) + seconds
+        mark = self.total_seconds[name] = self.total_seconds.get(name, 0.0) + seconds
         if beginning:
-            times = self.sent.touch((name, beginning))
+            times = self.last_sent.touch((name, beginning))
             times[:] = [now]
         return mark
 
     def record_read(self, name: EndpointName, mark: float, now: float) -> None:
-        """Note that an engine has read a prompt, and so all that was before it.
+        """Record that an engine has read a prompt, and thus all prompts before it.
 
-        Without it a reading time that was learnt too long would never be put right:
-        every engine would seem busy, and times are learnt from idle ones only.
+        Without this correction, a rate that was estimated too slow would never recover:
+        every engine would seem busy, and rates are measured on idle engines only.
 
         :param name: the engine.
-        :param mark: what :meth:`add` gave for the prompt.
+        :param mark: the value that :meth:`add` returned for the prompt.
         :param now: monotonic seconds.
         """
-        behind = max(0.0, self.given.get(name, 0.0) - mark)
-        self.busy_until[name] = min(self.busy_until.get(name, now), now + behind)
+        remaining = max(0.0, self.total_seconds.get(name, 0.0) - mark)
+        self.busy_until[name] = min(self.busy_until.get(name, now), now + remaining)
 
     def forget(self, name: EndpointName) -> None:
-        """:param name: an engine that has ended: its cache went with it."""
+        """Remove an engine that no longer runs; its cache is lost too.
+
+        :param name: the engine.
+        """
         self.busy_until.pop(name, None)
-        self.given.pop(name, None)
-        self.sent.drop(lambda key: key[0] == name)
+        self.total_seconds.pop(name, None)
+        self.last_sent.drop(lambda key: key[0] == name)
 
     def forget_except(self, names: set[EndpointName]) -> None:
-        """:param names: the engines that there are."""
+        """Remove the queued work of all engines but some.
+
+        :param names: the engines to keep.
+        """
         for name in [name for name in self.busy_until if name not in names]:
             del self.busy_until[name]
-            self.given.pop(name, None)
+            self.total_seconds.pop(name, None)
 
 
 def preferred_endpoint(
     names: Sequence[EndpointName], beginning: str
 ) -> EndpointName | None:
-    """Choose the engine that all VMs prefer for a beginning.
+    """Choose the engine that all VMs prefer for a prefix.
 
-    :param names: the engines to choose among.
-    :param beginning: the beginning; empty for none.
+    :param names: the engines to choose from.
+    :param beginning: the key of the prefix; empty for none.
+    :returns: the engine; None without engines or without a prefix.
     """
     if not names or not beginning:
         return None
-    numbers = preference_scores(names, beginning)
-    return names[numbers.index(max(numbers))]
+    scores = preference_scores(names, beginning)
+    return names[scores.index(max(scores))]
 
 
 def preference_scores(names: Sequence[EndpointName], beginning: str) -> list[int]:
-    """Number engines for a beginning; that with the greatest number is preferred.
+    """Return a score for each engine; the one with the highest is preferred.
 
     :param names: the engines.
-    :param beginning: the beginning.
+    :param beginning: the key of the prefix.
     """
-    number = xxhash.xxh3_64_intdigest
-    return [number(f"{beginning}\n{name}".encode()) for name in names]
+    digest = xxhash.xxh3_64_intdigest
+    return [digest(f"{beginning}\n{name}".encode()) for name in names]
+
 
+def reading_rank(reading: float, objective: float) -> int:
+    """Return the rank of a prompt at an engine, lower for a shorter reading time.
 
-def reading_rank(reading: float, aim: float) -> int:
-    """Rank a prompt at an engine: one that reads long holds up all behind it.
+    A prompt with a long reading time delays all prompts queued behind it.
 
     :param reading: seconds to read it.
-    :param aim: the time in which its route's answers should begin; seconds.
-    :returns: its rank, lower for what is read sooner.
+    :param objective: the time in which answers on its route should begin; seconds.
     """
-    if reading <= 0 or aim <= 0:
+    if reading <= 0 or objective <= 0:
         return FIRST_RANK
-    rank = WHOLE_AIM_RANK + round(math.log2(reading / aim))
+    rank = OBJECTIVE_RANK + round(math.log2(reading / objective))
     return min(LAST_RANK, max(FIRST_RANK, rank))
