--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -339,7 +339,7 @@
     Mutation(
         "cold endpoints: what is sent there is not counted",
         "coordination/routed/cold.py",
-        "self.endpoints.sent(instance.name, quota.count, now)",
+        "self.endpoints.record_send(instance.name, quota.count, now)",
         "pass",
         "tests.coordination.routed.test_cold.SendingTest",
     ),
--- a/walnutquay/state/routed/gains.py
+++ b/walnutquay/state/routed/gains.py
@@ -143,7 +143,7 @@
     def _merged_counts(self, pair: ModelPair) -> GainCounts:
         """Return the sum of the counts of all VMs for a pair of models."""
         # Adds plain numbers, because this is called several times for each request and
-        # 90 VMs may have sent counts.
+        # there are counts from 90 VMs.
         own = self.own.get(pair, NO_PAIRS)
         count, total, squares = own.count, own.total, own.squares
         for counts in self.peer_counts.get(pair, {}).values():
--- a/walnutquay/state/routed/work.py
+++ b/walnutquay/state/routed/work.py
@@ -157,8 +157,8 @@
         :returns: for each engine, whether it was sent that prefix within this time.
         """
         last_sent = self.last_sent.entries
-        entries = [last_sent.get((name, beginning)) for name in names]
-        return [bool(times) and now - times[0] < kept for times in entries]
+        sent_times = [last_sent.get((name, beginning)) for name in names]
+        return [bool(times) and now - times[0] < kept for times in sent_times]
 
     def reading(
         self,
