--- a/walnutquay/coordination/requests/crashes.py
+++ b/walnutquay/coordination/requests/crashes.py
@@ -26,9 +26,12 @@
 )
 from walnutquay.state.process.events import EventKind
 from walnutquay.state.process.ids import EndpointName, Fingerprint
-from walnutquay.state.requests.broken import Broken, BrokenRequests
-from walnutquay.state.requests.crashes import CrashBook
-from walnutquay.state.requests.ends import CrashTarget, CrashTrace
+from walnutquay.state.requests.crashes import CrashHistory
+from walnutquay.state.requests.crashtypes import CrashTarget, CrashTrace
+from walnutquay.state.requests.interrupted import (
+    InterruptedRequest,
+    InterruptedRequests,
+)
 from walnutquay.state.requests.refusals import Refusal, RefusalCode
 from walnutquay.state.store.instances import Instance
 from walnutquay.state.store.parts import Endpoint
@@ -55,9 +58,9 @@
     def __init__(self, context: Context, peers: Peers) -> None:
         self.context = context
         self.peers = peers
-        self.book = CrashBook()
+        self.book = CrashHistory()
         # What broke where nobody could tell whether the endpoint has ended.
-        self.broken = BrokenRequests()
+        self.broken = InterruptedRequests()
         self.tasks = Tasks()
         # Tries that are under way, shared by all requests that broke there.
         self.tries: dict[EndpointName, asyncio.Task[bool]] = {}
@@ -93,7 +96,7 @@
 
         :returns: its fingerprint, if an endpoint has ended under it.
         """
-        if not self.book.ends_of:
+        if not self.book.crashes_by_request:
             return None
         fingerprint = arrival.fingerprint()
         return fingerprint if self.book.is_suspect(fingerprint) else None
@@ -128,7 +131,7 @@
         """
         if self.book.is_blocked(fingerprint, target):
             return True
-        if not self.book.is_known_elsewhere(fingerprint, target):
+        if not self.book.is_blocked_elsewhere(fingerprint, target):
             return False
         if not self.peers.is_keeper(fingerprint):
             return True
@@ -186,7 +189,7 @@
         :param held: seconds for which the endpoint had it.
         """
         trace = CrashTrace(arrival.fingerprint(), target, endpoint, 0.0, ran, held=held)
-        self.broken.note(Broken(monotonic(), trace))
+        self.broken.note(InterruptedRequest(monotonic(), trace))
 
     def started_again(self, endpoint: EndpointName) -> None:
         """Take what broke there lately for broken by the endpoint's end.
--- a/walnutquay/coordination/routed/places.py
+++ b/walnutquay/coordination/routed/places.py
@@ -160,7 +160,7 @@
                 )
             )
         self.cold.sent(chosen, now)
-        self.table.of(chosen.name).in_flight += 1
+        self.table.state_of(chosen.name).in_flight += 1
         if need.work is None:
             return Ok(Grant(chosen, now, WorkKind.QUICK))
         return Ok(self._with_work(Grant(chosen, now, WorkKind.PATIENT), need))
@@ -323,12 +323,13 @@
     def _least_loaded(self, left: list[Instance], now: float) -> Instance | None:
         """Choose where to queue; endpoints that have just refused are left out."""
         open_ones = [
-            item for item in left if self.table.of(item.name).full_until <= now
+            item for item in left if self.table.state_of(item.name).full_until <= now
         ]
         if not open_ones:
             return None
         return min(
-            open_ones, key=lambda item: self.table.of(item.name).load(now) / item.slots
+            open_ones,
+            key=lambda item: self.table.state_of(item.name).load(now) / item.slots,
         )
 
     def on_instance(self, name: EndpointName, instance: Instance | None) -> None:
@@ -364,7 +365,7 @@
         known = self.book.known.get(endpoint.name)
         # The places of an earlier start went with it.
         if known is not None and known.is_same_start(endpoint):
-            facts = self.table.of(grant.name)
+            facts = self.table.state_of(grant.name)
             facts.in_flight = max(0, facts.in_flight - 1)
 
     def full(self, grant: Grant) -> None:
--- a/walnutquay/state/requests/endpoints.py
+++ b/walnutquay/state/requests/endpoints.py
@@ -13,7 +13,7 @@
 import xxhash
 
 from walnutquay.state.process.ids import EndpointName, LeavingSource
-from walnutquay.state.requests.pace import SLOW_FACTOR, PaceTable
+from walnutquay.state.requests.durations import SLOW_FACTOR, DurationTable
 from walnutquay.state.store.parts import Endpoint
 
 # After this many failures in a row an endpoint is left out for a while.
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True)
-class EndpointFacts:
+class EndpointState:
     """What one VM knows of one endpoint.
 
     :param in_flight: requests of this VM that are running there.
@@ -77,7 +77,7 @@
     incarnation: str = ""
     leaving: dict[LeavingSource, str] = field(default_factory=dict)
 
-    def has_place(self, slots: int, now: float) -> bool:
+    def has_free_slot(self, slots: int, now: float) -> bool:
         """:param slots: requests that it runs at once.
 
         :param now: monotonic seconds.
@@ -148,13 +148,13 @@
     def __init__(self, hall: str, rng: random.Random) -> None:
         self.hall = hall
         self.rng = rng
-        self.facts: defaultdict[str, EndpointFacts] = defaultdict(EndpointFacts)
+        self.facts: defaultdict[str, EndpointState] = defaultdict(EndpointState)
         # How long each kind of work usually takes, over all endpoints.
-        self.pace = PaceTable()
+        self.pace = DurationTable()
         # When any endpoint last answered for each version or service.
         self.answered_at: dict[str, float] = {}
 
-    def of(self, name: str) -> EndpointFacts:
+    def state_of(self, name: str) -> EndpointState:
         """:param name: an endpoint's name."""
         return self.facts[name]
 
@@ -174,7 +174,7 @@
 
         :returns: whether anybody has said that it is leaving.
         """
-        return endpoint.leaving or bool(self.of(endpoint.name).leaving)
+        return endpoint.leaving or bool(self.state_of(endpoint.name).leaving)
 
     def mark_leaving(
         self, name: EndpointName, source: LeavingSource, incarnation: str = ""
@@ -187,7 +187,7 @@
             where the source does not know it.
         :returns: whether this was news.
         """
-        facts = self.of(name)
+        facts = self.state_of(name)
         if incarnation and incarnation < facts.incarnation:
             return False
         news = not facts.leaving
@@ -207,7 +207,7 @@
         :param incarnation: the endpoint's incarnation.
         :param now: monotonic seconds.
         """
-        facts = self.of(name)
+        facts = self.state_of(name)
         if facts.incarnation and incarnation > facts.incarnation:
             facts.leaving.clear()
         facts.incarnation = max(facts.incarnation, incarnation)
@@ -225,7 +225,7 @@
         :param seconds: how long it took.
         :param now: monotonic seconds.
         """
-        facts = self.of(name)
+        facts = self.state_of(name)
         facts.failures = 0
         facts.ejections = 0
         if not kind:
@@ -246,7 +246,7 @@
         :param now: monotonic seconds.
         :param target: the version or service that failed; empty if not known.
         """
-        facts = self.of(name)
+        facts = self.state_of(name)
         facts.failures += 1
         facts.learn_speed(FAILED_RATIO, now)
         if facts.failures < FAILURES_TO_EJECT:
@@ -268,7 +268,7 @@
         :param name: the endpoint.
         :param now: monotonic seconds.
         """
-        self.of(name).full_until = now + FULL_SECONDS
+        self.state_of(name).full_until = now + FULL_SECONDS
 
     def usable(
         self, endpoints: list[Endpoint], now: float, tried: frozenset[str]
@@ -327,7 +327,7 @@
         open_ones = [
             endpoint
             for endpoint in self.usable(endpoints, now, tried)
-            if self.of(endpoint.name).has_place(endpoint.slots, now)
+            if self.state_of(endpoint.name).has_free_slot(endpoint.slots, now)
         ]
         if not open_ones:
             return None
@@ -352,7 +352,9 @@
         Loads", 2016), and then it is the next one in rank.
         """
         loads = [
-            self.of(e.name).load(now) * self.of(e.name).slow_by(now) / e.slots
+            self.state_of(e.name).load(now)
+            * self.state_of(e.name).slow_by(now)
+            / e.slots
             for e in endpoints
         ]
         bound = max(MIN_SHARE_BUSY, LOAD_BOUND * sum(loads) / len(loads))
@@ -380,18 +382,18 @@
         fine = [e for e in endpoints if facts[e.name].ejected_until <= now]
         if len(fine) >= FLOOR_SHARE * len(endpoints):
             return fine
-        by_end = sorted(endpoints, key=lambda e: self.of(e.name).ejected_until)
+        by_end = sorted(endpoints, key=lambda e: self.state_of(e.name).ejected_until)
         floor = max(1, round(FLOOR_SHARE * len(endpoints)))
         return by_end[:floor]
 
     def _has_room(self, endpoint: Endpoint, now: float) -> bool:
         """Whether it is worth going to for what it has cached."""
-        facts = self.of(endpoint.name)
+        facts = self.state_of(endpoint.name)
         fast = facts.slow_by(now) < SLOW_FACTOR
         return fast and facts.load(now) < endpoint.slots
 
     def _weight(self, endpoint: Endpoint, now: float) -> float:
-        facts = self.of(endpoint.name)
+        facts = self.state_of(endpoint.name)
         penalty = 0 if endpoint.hall == self.hall else OTHER_HALL_PENALTY
         # With the request itself: an idle endpoint that is slow is slow all the same.
         load = (facts.load(now) + 1) * facts.slow_by(now)
--- a/walnutquay/state/trials/baseline.py
+++ b/walnutquay/state/trials/baseline.py
@@ -15,7 +15,7 @@
 
 from walnutquay.state.process.counts import LatestTable
 from walnutquay.state.process.ids import HallName, ServiceName, VmName
-from walnutquay.state.requests.pace import MIN_SEEN, PaceTable
+from walnutquay.state.requests.durations import MIN_SAMPLES, DurationTable
 
 # The most services whose times are kept; a platform has a few.
 MAX_SERVICES = 100
@@ -52,8 +52,8 @@
     """Baseline times measured by this VM and received from others."""
 
     def __init__(self) -> None:
-        self.own: LatestTable[ServiceName, PaceTable] = LatestTable(
-            MAX_SERVICES, PaceTable
+        self.own: LatestTable[ServiceName, DurationTable] = LatestTable(
+            MAX_SERVICES, DurationTable
         )
         # The latest times from each other VM and each other data hall, by kind.
         self.received: dict[ServiceName, dict[VmName, dict[int, BaselineTime]]] = {}
@@ -87,7 +87,7 @@
         if ratio is not None:
             return ratio
         baseline = self._combined_time(service, kind)
-        if baseline.seen < MIN_SEEN or not baseline.seconds:
+        if baseline.seen < MIN_SAMPLES or not baseline.seconds:
             return None
         return seconds / baseline.seconds
 
@@ -111,7 +111,7 @@
             return ()
         return tuple(
             BaselineTime(kind_hash(kind), pace.seconds, min(pace.seen, MAX_SEEN))
-            for kind, pace in own.paces.entries.items()
+            for kind, pace in own.means.entries.items()
         )
 
     def rows_of_hall(self, service: ServiceName) -> tuple[BaselineTime, ...]:
