--- a/lab/crashes/fleet.py
+++ b/lab/crashes/fleet.py
@@ -36,7 +36,7 @@
     VersionName,
     VmName,
 )
-from walnutquay.state.requests.ends import CrashTarget
+from walnutquay.state.requests.crashtypes import CrashTarget
 from walnutquay.state.requests.fingerprints import fingerprint
 from walnutquay.state.routed.work import preferred_of
 
--- a/lab/decisions/choice.py
+++ b/lab/decisions/choice.py
@@ -28,12 +28,12 @@
 from walnutquay.protocol import chat
 from walnutquay.replay.traces import RequestKind, TraceRequest, prompt_of
 from walnutquay.replay.workloads import Workload, WorkloadGenerator
+from walnutquay.state.requests.durations import SLOW_FACTOR
 from walnutquay.state.requests.endpoints import (
     LOAD_BOUND,
     MIN_SHARE_BUSY,
     EndpointTable,
 )
-from walnutquay.state.requests.pace import SLOW_FACTOR
 from walnutquay.state.store.parts import Endpoint
 
 ENGINES = 8
@@ -128,7 +128,7 @@
 
 def least_reported(vm, endpoints, prompt, tried):
     """The one whose last report shows the least load."""
-    return min(endpoints, key=lambda e: vm.table.of(e.name).reported)
+    return min(endpoints, key=lambda e: vm.table.state_of(e.name).reported)
 
 
 def without_prefix(vm, endpoints, prompt, tried):
@@ -146,14 +146,14 @@
 def by_events(vm, endpoints, prompt, tried):
     """The endpoint known to hold most of the prompt, unless it is busy or slow."""
     now = time.monotonic()
-    facts = {e.name: vm.table.of(e.name) for e in endpoints}
+    facts = {e.name: vm.table.state_of(e.name) for e in endpoints}
     loads = {n: f.load(now) * f.slow_by(now) / SLOTS for n, f in facts.items()}
     bound = max(MIN_SHARE_BUSY, LOAD_BOUND * sum(loads.values()) / len(loads))
     fit = [
         e
         for e in endpoints
         if loads[e.name] < bound
-        and facts[e.name].has_place(SLOTS, now)
+        and facts[e.name].has_free_slot(SLOTS, now)
         and facts[e.name].slow_by(now) < SLOW_FACTOR
         and e.name not in tried
     ]
@@ -248,7 +248,7 @@
     async def _send(
         self, vm: SimulatedVm, endpoint: Endpoint, body: dict, kind: str
     ) -> bool:
-        facts = vm.table.of(endpoint.name)
+        facts = vm.table.state_of(endpoint.name)
         facts.in_flight += 1
         started = time.monotonic()
         url = f"{endpoint.address}/v1/chat/completions"
--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -175,13 +175,13 @@
     ),
     Mutation(
         "ends of endpoints: what had not begun may have run since it was sent",
-        "state/requests/culprits.py",
+        "state/requests/attribution.py",
         "end.at - end.sent[name] if ran is None else ran",
         "math.inf if ran is None else ran",
-        "tests.state.requests.test_crashbook.BesideTest",
+        "tests.state.requests.test_crashhistory.BesideTest",
     ),
     Mutation(
-        "failures: a request that fails everywhere blames no endpoint",
+        "failures: a request that fails everywhere counts against no endpoint",
         "state/requests/failures.py",
         "return len(endpoints) == 1",
         "return True",
@@ -196,10 +196,10 @@
     ),
     Mutation(
         "ends of endpoints: what was only beside is not blocked",
-        "state/requests/culprits.py",
+        "state/requests/attribution.py",
         "chosen = _without_spare_ones(_cover(suspects))",
         "chosen = suspects",
-        "tests.state.requests.test_crashbook.BesideTest",
+        "tests.state.requests.test_crashhistory.BesideTest",
     ),
     Mutation(
         "ends of endpoints: news of the others are waited for",
@@ -212,7 +212,7 @@
     Mutation(
         "ends of endpoints: another version is tried once",
         "state/requests/crashes.py",
-        "return len(self._ends_at(fingerprint, target)) >= ENDS_OF_KNOWN_ONE",
+        "return len(self._ends_at(fingerprint, target)) >= CRASHES_TO_BLOCK_ELSEWHERE",
         "return False",
         "tests.coordination.requests.test_crashes.MendedTest",
     ),
@@ -317,10 +317,10 @@
     ),
     Mutation(
         "ends of endpoints: what was sent there later is no evidence",
-        "state/requests/ends.py",
+        "state/requests/crashtypes.py",
         "return self.sent.get(fingerprint, -math.inf) < self.at",
         "return True",
-        "tests.state.requests.test_crashbook.SentLaterTest",
+        "tests.state.requests.test_crashhistory.SentLaterTest",
     ),
     Mutation(
         "emptied halls: their endpoints are chosen all the same",
@@ -360,7 +360,7 @@
     Mutation(
         "regions: a route's endpoints are asked wherever they stand",
         "coordination/routed/places.py",
-        "allowed = within(candidates, need.regions, self.region_of)",
+        "allowed = filter_by_region(candidates, need.regions, self.region_of)",
         "allowed = candidates",
         "tests.coordination.requests.test_regions.RouteTest",
     ),
--- a/soak/calm.py
+++ b/soak/calm.py
@@ -10,7 +10,7 @@
 from soak.callers import Callers, Kind, Sent
 from soak.fleet import CONTACT_SECONDS, HANG_SECONDS, PROMISES, Endpoint, SoakFleet
 from standins.worker import WorkerStandIn
-from walnutquay.state.requests.culprits import ENDS_TO_BLOCK
+from walnutquay.state.requests.attribution import CRASHES_TO_BLOCK
 
 # Requests that every VM must serve of each kind.
 LAST_REQUESTS = 5
@@ -73,7 +73,7 @@
         before = sum(worker.crashes for worker in workers)
         await self.callers.bring_crashing("last")
         ended = sum(worker.crashes for worker in workers) - before
-        if ended <= ENDS_TO_BLOCK:
+        if ended <= CRASHES_TO_BLOCK:
             return []
         return [f"{ended} engines ended under a request when nothing else was wrong"]
 
--- a/soak/judge.py
+++ b/soak/judge.py
@@ -20,14 +20,14 @@
     SoakFleet,
 )
 from standins.worker import Seen
-from walnutquay.state.requests.culprits import ENDS_TO_BLOCK
+from walnutquay.state.requests.attribution import CRASHES_TO_BLOCK
 
 # Statuses by which a VM promises that a request has not run and will not.
 PROMISES_NOT_RUN = (408, 421, 429, 503)
 # Sends of a request that has ended three endpoints, later than a VM is given to know.
 SENDS_AFTER = 3
 # Its sends in all: VMs that knew of it may be killed before they have told.
-MOST_SENDS = 3 * ENDS_TO_BLOCK
+MOST_SENDS = 3 * CRASHES_TO_BLOCK
 # What a busy machine may take over the times that VMs keep to.
 SLACK_SECONDS = 1.0
 STREAM = b"".join(f"id: {n}\ndata: word {n}\n\n".encode() for n in range(1, EVENTS + 1))
@@ -109,11 +109,11 @@
                     paths.setdefault(seen.target, []).append(seen)
         for path, runs in paths.items():
             runs.sort(key=lambda seen: seen.at)
-            if len(runs) <= ENDS_TO_BLOCK:
+            if len(runs) <= CRASHES_TO_BLOCK:
                 continue
             if len(runs) > MOST_SENDS:
                 yield f"{path} was sent {len(runs)} times"
-            known = runs[ENDS_TO_BLOCK - 1].at + CONTACT_SECONDS
+            known = runs[CRASHES_TO_BLOCK - 1].at + CONTACT_SECONDS
             later = [seen for seen in runs if seen.at > known and self._in_touch(seen)]
             if len(later) > SENDS_AFTER:
                 yield f"{path} was sent {len(later)} times after three ends"
--- a/tests/coordination/requests/test_crashes.py
+++ b/tests/coordination/requests/test_crashes.py
@@ -15,8 +15,8 @@
 from walnutquay.state.fleet.membership import VmPlace
 from walnutquay.state.process.events import EventKind
 from walnutquay.state.requests import crashes
-from walnutquay.state.requests.crashes import CrashBook
-from walnutquay.state.requests.culprits import ENDS_TO_BLOCK
+from walnutquay.state.requests.attribution import CRASHES_TO_BLOCK
+from walnutquay.state.requests.crashes import CrashHistory
 
 # A body that ends each engine that begins to run it.
 CRASHING = b"crash"
@@ -54,7 +54,7 @@
         """How many engines have ended."""
         return sum(worker.crashes for worker in self.endpoints.values())
 
-    def book_of(self, gateway: GatewayDaemon) -> CrashBook:
+    def book_of(self, gateway: GatewayDaemon) -> CrashHistory:
         """:returns: what a VM knows of requests that end engines."""
         return gateway.path.parts.crashes.book
 
@@ -124,7 +124,7 @@
 
     async def block(self) -> None:
         """Have three engines end under the request."""
-        while self.crashes < ENDS_TO_BLOCK:
+        while self.crashes < CRASHES_TO_BLOCK:
             await self.ask(CRASHING)
 
     async def ask(self, body: bytes, **headers: str) -> Got:
@@ -155,9 +155,9 @@
     async def test_one_within_whose_try_the_third_ends_has_run(self):
         answer = await self.stream(CRASHING)
         self.assertFalse(answer.whole)
-        self.assertEqual(self.crashes, ENDS_TO_BLOCK)
+        self.assertEqual(self.crashes, CRASHES_TO_BLOCK)
         blocked = self.events_of(EventKind.REQUEST_BLOCKED)
-        self.assertEqual([line["ends"] for line in blocked], [ENDS_TO_BLOCK])
+        self.assertEqual([line["ends"] for line in blocked], [CRASHES_TO_BLOCK])
 
     async def test_other_requests_go_on(self):
         await self.block()
@@ -191,11 +191,11 @@
         holder = next(worker for worker in self.endpoints.values() if worker.runs)
         # The others are to end first.
         table = self.gateway.path.places.table
-        table.of(holder.name).ejected_until = float("inf")
+        table.state_of(holder.name).ejected_until = float("inf")
         await self.stream(CRASHING)
         answer = await copy
         self.assertFalse(answer.whole)
-        self.assertEqual((self.crashes, holder.crashes), (ENDS_TO_BLOCK, 0))
+        self.assertEqual((self.crashes, holder.crashes), (CRASHES_TO_BLOCK, 0))
         steps = [line["step"] for line in self.events_of(EventKind.FAILED)]
         self.assertEqual(steps.count(STEP_ENDED), 1)
         gate.set()
@@ -227,10 +227,10 @@
         gate.set()
         answers = await asyncio.gather(*beside)
         self.assertEqual([(a.status, a.whole) for a in answers], [(200, True)] * 12)
-        self.assertEqual(self.crashes, ENDS_TO_BLOCK)
+        self.assertEqual(self.crashes, CRASHES_TO_BLOCK)
         book = self.book_of(self.gateway)
         [blocked] = book.blocked.values()
-        self.assertEqual(set(book.ends_of), blocked)
+        self.assertEqual(set(book.crashes_by_request), blocked)
 
 
 class LateVmTest(CrashCase):
@@ -241,7 +241,7 @@
         second = await self.add_gateway("vm-2", [self.gateway])
         await self.until(lambda: bool(self.book_of(second).blocked))
         self.assertEqual((await self.stream(CRASHING, second)).status, 500)
-        self.assertEqual(self.crashes, ENDS_TO_BLOCK)
+        self.assertEqual(self.crashes, CRASHES_TO_BLOCK)
 
     async def test_all_were_lost(self):
         await self.stream(CRASHING)
@@ -251,7 +251,7 @@
         second = await self.add_gateway("vm-2")
         await self.until(lambda: bool(self.book_of(second).blocked))
         self.assertEqual((await self.stream(CRASHING, second)).status, 500)
-        self.assertEqual(self.crashes, ENDS_TO_BLOCK)
+        self.assertEqual(self.crashes, CRASHES_TO_BLOCK)
 
     async def test_one_that_heard_nothing_while_it_was_cut_off(self):
         second = await self.add_gateway("vm-2")
@@ -314,7 +314,7 @@
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         # These are back within some 0.2 s, real ones after seconds.
-        patch = mock.patch.object(crashes, "SAME_END_SECONDS", 0.05)
+        patch = mock.patch.object(crashes, "SAME_CRASH_SECONDS", 0.05)
         patch.start()
         self.addCleanup(patch.stop)
         self.links = {}
@@ -345,13 +345,13 @@
         for _ in range(4):
             await self.call("/once/x", CRASHING, Model="tiny")
             await self.start_again()
-        self.assertEqual(self.crashes, ENDS_TO_BLOCK)
+        self.assertEqual(self.crashes, CRASHES_TO_BLOCK)
         ended = self.events_of(EventKind.ENDPOINT_ENDED)
-        self.assertEqual(len(ended), ENDS_TO_BLOCK)
+        self.assertEqual(len(ended), CRASHES_TO_BLOCK)
 
     async def test_a_broken_connection_without_another_start_is_no_end(self):
         once = [Behaviour(events=EVENTS, cut_after=1)]
         for worker in self.endpoints.values():
             worker.choose = lambda seen: once.pop() if once else by_body(seen)
         self.assertTrue((await self.stream(b"harmless")).whole)
-        self.assertEqual(self.book_of(self.gateway).ends, [])
+        self.assertEqual(self.book_of(self.gateway).crashes, [])
--- a/tests/coordination/requests/test_crashmoments.py
+++ b/tests/coordination/requests/test_crashmoments.py
@@ -9,7 +9,7 @@
 from standins.worker import Behaviour
 from tests.coordination.requests.test_crashes import CRASHING, EVENTS, CrashCase
 from tests.gatewaycase import catalogue
-from walnutquay.state.requests.culprits import ENDS_TO_BLOCK
+from walnutquay.state.requests.attribution import CRASHES_TO_BLOCK
 
 # Streams may rest for longer than a test takes.
 PATIENCE_MS = 60_000
@@ -41,7 +41,7 @@
         gate.set()
         answers = await asyncio.gather(*beside)
         self.assertEqual({(a.status, a.whole) for a in answers}, {(200, True)})
-        self.assertEqual(self.crashes, ENDS_TO_BLOCK)
+        self.assertEqual(self.crashes, CRASHES_TO_BLOCK)
 
     async def let_streams_rest(self) -> None:
         """Have no stream moved or ended for its time, on busy machines too."""
--- a/tests/coordination/requests/test_crashnews.py
+++ b/tests/coordination/requests/test_crashnews.py
@@ -17,8 +17,8 @@
     ServiceName,
     VersionName,
 )
-from walnutquay.state.requests.crashes import CrashBook
-from walnutquay.state.requests.ends import CrashTarget, CrashTrace
+from walnutquay.state.requests.crashes import CrashHistory
+from walnutquay.state.requests.crashtypes import CrashTarget, CrashTrace
 
 TRACE = CrashTrace(
     Fingerprint("bad"),
@@ -47,7 +47,7 @@
 
     async def test_both_times_that_they_are_told(self):
         peers = HeardPeers()
-        exchange = CrashExchange(peers, CrashBook(), lambda traces, vm: None)
+        exchange = CrashExchange(peers, CrashHistory(), lambda traces, vm: None)
         times = [100.0, 100.0 + FIRST_SECONDS, 100.0 + SECOND_SECONDS]
         with (
             mock.patch.object(crashnews, "monotonic", lambda: times.pop(0)),
--- a/tests/coordination/requests/test_failures.py
+++ b/tests/coordination/requests/test_failures.py
@@ -26,7 +26,9 @@
     def left_out(self) -> list[str]:
         """:returns: the endpoints that are left out for their failures."""
         table = self.gateway.path.places.table
-        return [n for n in self.endpoints if table.of(n).ejected_until > monotonic()]
+        return [
+            n for n in self.endpoints if table.state_of(n).ejected_until > monotonic()
+        ]
 
     async def test_it_is_held_against_no_endpoint(self):
         for worker in self.endpoints.values():
@@ -39,6 +41,6 @@
     async def test_what_others_answer_is_held_against_the_endpoint(self):
         self.endpoints["p1"].default = Behaviour(status=500)
         table = self.gateway.path.places.table
-        while not table.of("p1").failures:
+        while not table.state_of("p1").failures:
             answer = await self.call("/safe/x")
             self.assertEqual(answer.status, 200)
--- a/tests/coordination/routed/test_promptengines.py
+++ b/tests/coordination/routed/test_promptengines.py
@@ -60,7 +60,9 @@
         for item in self.engines:
             self.table.report(item.name, rng.randint(0, 30), "", NOW - 1.0)
             if rng.random() < 0.3:
-                self.table.of(item.name).learn_speed(rng.uniform(0.5, 6.0), NOW - 3.0)
+                self.table.state_of(item.name).learn_speed(
+                    rng.uniform(0.5, 6.0), NOW - 3.0
+                )
             if rng.random() < 0.5:
                 beginning = rng.choice([self.prompt.beginning, "another"])
                 sent_at = NOW - rng.uniform(0.0, 2.0 * KEPT)
@@ -77,7 +79,7 @@
             preferred_of(near, beginning),
             preferred_of(everywhere, beginning),
         )
-        facts = self.table.of(item.name)
+        facts = self.table.state_of(item.name)
         slow = facts.slow_by(NOW)
         reading = self.work.reading(item.name, self.prompt, NOW, preferred, KEPT)
         running = facts.load(NOW) * RUNNING_SECONDS
--- a/tests/coordination/store/test_knowledge.py
+++ b/tests/coordination/store/test_knowledge.py
@@ -147,4 +147,4 @@
         places = self.gateway.path.places
         await self.store.remove("servers", "p1")
         await self.store.remove("servers", "p2")
-        await self.until(lambda: not {"p1", "p2"} & set(places.table.facts))
+        await self.until(lambda: not {"p1", "p2"} & set(places.table.states))
--- a/tests/coordination/store/test_restarts.py
+++ b/tests/coordination/store/test_restarts.py
@@ -100,21 +100,21 @@
         places = self.gateway.path.places
         name = EndpointName("e1")
         await self.call("/stream/x", b"b", Model="tiny", Token_Count="100,5")
-        facts = places.table.of(name)
+        facts = places.table.state_of(name)
         facts.ejected_until = float("inf")
         places.work.add(name, 100.0, "beginning", 0.0)
         await self.enter("e1", "engine", NEXT)
-        self.assertIsNot(places.table.of(name), facts)
+        self.assertIsNot(places.table.state_of(name), facts)
         self.assertNotIn(name, places.work.busy_until)
 
     async def test_a_place_of_an_earlier_start_is_given_back_to_it(self):
         places = self.gateway.path.places
         endpoint = self.gateway.knowledge.instances.book.known[EndpointName("p1")]
         grant = Grant(endpoint, 0.0, WorkKind.QUICK)
-        places.table.of(endpoint.name).in_flight += 1
+        places.table.state_of(endpoint.name).in_flight += 1
         await self.enter("p1", "plain", NEXT)
         places.release(grant)
-        self.assertEqual(places.table.of(endpoint.name).in_flight, 0)
+        self.assertEqual(places.table.state_of(endpoint.name).in_flight, 0)
 
     async def test_one_that_could_not_be_reached_is_back_at_another_address(self):
         reach = self.gateway.path.places.reach
--- a/tests/coordination/trials/test_judging.py
+++ b/tests/coordination/trials/test_judging.py
@@ -21,7 +21,7 @@
     VersionName,
     VmName,
 )
-from walnutquay.state.requests.pace import MIN_SEEN
+from walnutquay.state.requests.durations import MIN_SAMPLES
 from walnutquay.state.store.instances import Instance
 from walnutquay.state.store.orders import OrderState, RolloutOrder
 from walnutquay.state.trials.counts import Measure, TrialCounts
@@ -63,7 +63,7 @@
 
     def learn_usual(self) -> None:
         """Let the old version answer some requests."""
-        for _ in range(MIN_SEEN):
+        for _ in range(MIN_SAMPLES):
             self.judge.begun(turn(), grant("v1", "old-1"), USUAL)
 
     def counts(self, measure: Measure) -> tuple[int, int]:
@@ -89,7 +89,7 @@
         self.assertEqual(self.counts(Measure.FAILED), (1, 0))
 
     def test_what_others_tell_is_enough(self):
-        row = UsualTime(kind_number(KIND), USUAL, MIN_SEEN)
+        row = UsualTime(kind_number(KIND), USUAL, MIN_SAMPLES)
         self.judge.usual.hear(SERVICE, VmName("vm-2"), (row,))
         self.judge.sent(turn(), self.new)
         self.judge.begun(turn(), self.new, 5.0)
--- a/tests/coordination/trials/test_trialnews.py
+++ b/tests/coordination/trials/test_trialnews.py
@@ -30,7 +30,7 @@
     VmName,
 )
 from walnutquay.state.process.metrics import Metrics
-from walnutquay.state.requests.pace import MIN_SEEN
+from walnutquay.state.requests.durations import MIN_SAMPLES
 from walnutquay.state.store.orders import OrderState, RolloutOrder
 from walnutquay.state.trials.counts import Measure, TrialCounts
 from walnutquay.state.trials.reports import TrialReport, Verdict
@@ -263,12 +263,12 @@
     KIND = "head/r/0"
 
     def test_what_another_vm_tells(self):
-        row = UsualTime(kind_number(self.KIND), 0.1, MIN_SEEN)
+        row = UsualTime(kind_number(self.KIND), 0.1, MIN_SAMPLES)
         self.hear(TrialReport("order", V2, (), usual=(row,)))
         self.assertAlmostEqual(self.usual.ratio(SERVICE, self.KIND, 0.3), 3.0)
 
     def test_one_that_starts_is_told_all(self):
-        row = UsualTime(kind_number(self.KIND), 0.1, MIN_SEEN)
+        row = UsualTime(kind_number(self.KIND), 0.1, MIN_SAMPLES)
         self.hear(TrialReport("order", V2, (), usual=(row,)))
         question = AskTrial(ORDER.name, V2)
         answer = self.exchange.answer(Envelope("vm-3", "inc", Stamp(1, 0), question))
--- a/tests/lab/test_crashfleet.py
+++ b/tests/lab/test_crashfleet.py
@@ -12,7 +12,7 @@
 
 from lab.crashes.costs import SIZES
 from lab.crashes.fleet import CrashFleet, Moment
-from walnutquay.state.requests.culprits import ENDS_TO_BLOCK
+from walnutquay.state.requests.attribution import CRASHES_TO_BLOCK
 
 # Sends of a blocked request that may come after a time in which VMs are in touch.
 SENDS_AFTER = 3
@@ -43,7 +43,7 @@
         for seed in range(3):
             with self.subTest(seed=seed):
                 found = self.play(seed, 1, 1).found
-                self.assertEqual(list(found.ended.values()), [ENDS_TO_BLOCK])
+                self.assertEqual(list(found.ended.values()), [CRASHES_TO_BLOCK])
                 self.assertEqual((found.refused, found.lost), (0, 0))
                 self.assertGreater(found.hit, 0)
 
@@ -52,7 +52,7 @@
             for seed in range(3):
                 with self.subTest(moment=moment.value, seed=seed):
                     found = self.play(seed, 1, 1, moment).found
-                    self.assertEqual(list(found.ended.values()), [ENDS_TO_BLOCK])
+                    self.assertEqual(list(found.ended.values()), [CRASHES_TO_BLOCK])
                     self.assertEqual(found.refused, 0)
 
     def test_many_copies_at_once(self):
--- a/tests/processes/test_crashing_chats.py
+++ b/tests/processes/test_crashing_chats.py
@@ -5,7 +5,7 @@
 from __future__ import annotations
 
 from tests.fleetcase import FleetCase
-from walnutquay.state.requests.culprits import ENDS_TO_BLOCK
+from walnutquay.state.requests.attribution import CRASHES_TO_BLOCK
 
 # Prompts with it end the engine that begins to run them.
 WORD = "crash"
@@ -25,7 +25,7 @@
         """Send the chat to both VMs in turn, and see what becomes of the engines."""
         for vm in ("vm-a1", "vm-b1", "vm-a1", "vm-b1"):
             await self.chat(vm, WORD, model="small-1", stream=stream, may_break=stream)
-        self.assertEqual(self.ended(), ENDS_TO_BLOCK)
+        self.assertEqual(self.ended(), CRASHES_TO_BLOCK)
         answer = await self.chat("vm-a1", WORD, model="small-1", stream=stream)
         self.assertEqual(answer.status, 500)
         self.assertEqual(answer.error["code"], "ends_endpoints")
--- a/tests/state/own/test_rollouts.py
+++ b/tests/state/own/test_rollouts.py
@@ -13,7 +13,7 @@
 from walnutquay.state.own.brakes import BrakeTable, Measure, Stage
 from walnutquay.state.own.sequential import Verdict
 from walnutquay.state.own.tallies import ROWS_SENT, TallyBoard
-from walnutquay.state.requests.pace import MIN_SEEN, PaceTable
+from walnutquay.state.requests.durations import MIN_SAMPLES, DurationTable
 
 SEEDS = 200
 MOST = 4000
@@ -106,9 +106,9 @@
     """What is slow is told by the class, once it is known."""
 
     def test_slow_is_against_the_class(self):
-        pace = PaceTable()
+        pace = DurationTable()
         self.assertIsNone(pace.is_slow("recap", 9.0))
-        for _ in range(MIN_SEEN):
+        for _ in range(MIN_SAMPLES):
             pace.learn("recap", 4.0)
             pace.learn("tag", 0.1)
         self.assertFalse(pace.is_slow("recap", 7.0))
--- a/tests/state/requests/test_crashbook.py
+++ b/tests/state/requests/test_crashhistory.py
@@ -18,8 +18,8 @@
     VersionName,
 )
 from walnutquay.state.requests import crashes
-from walnutquay.state.requests.crashes import CrashBook
-from walnutquay.state.requests.ends import CrashTarget, CrashTrace
+from walnutquay.state.requests.crashes import CrashHistory
+from walnutquay.state.requests.crashtypes import CrashTarget, CrashTrace
 
 OLD = CrashTarget(ServiceName("engine"), VersionName("v1"))
 NEW = CrashTarget(ServiceName("engine"), VersionName("v2"))
@@ -52,17 +52,17 @@
     """A book, and a clock that each step moves on."""
 
     def setUp(self) -> None:
-        self.book = CrashBook()
+        self.book = CrashHistory()
         self.now = 100.0
 
     def take(self, *traces: CrashTrace) -> None:
         for one in traces:
             self.now += 0.01
-            self.book.take(one, self.now)
+            self.book.record(one, self.now)
 
     def end(self, endpoint: str, *names: str, **more) -> None:
         """Have an endpoint end that had some requests."""
-        self.now += 2.0 * crashes.SAME_END_SECONDS
+        self.now += 2.0 * crashes.SAME_CRASH_SECONDS
         self.take(*(trace(name, endpoint, **more) for name in names))
 
     def blocked(self, target: CrashTarget = OLD) -> set[str]:
@@ -91,7 +91,7 @@
         """Take in what VMs have noticed, some time after it."""
         for name, endpoint, at, held in rows:
             seen = trace(name, endpoint, age=26.0 - at)
-            self.book.take(dataclasses.replace(seen, held=held), 26.0)
+            self.book.record(dataclasses.replace(seen, held=held), 26.0)
 
     def test_it_is_not_held_to_have_ended_them(self):
         self.take_all(*self.OTHERS, *self.OWN)
@@ -109,9 +109,9 @@
         self.take_all(*rows, ("x", "c", 25.5, 2.0))
         last = trace(BAD, "c", held=0.04)
         # It was noted at 25.51, and the first news of it came 0.1 s later.
-        self.book.take(last, 25.61)
+        self.book.record(last, 25.61)
         self.assertEqual(self.blocked(), set())
-        self.book.take(dataclasses.replace(last, age=0.2), 25.71)
+        self.book.record(dataclasses.replace(last, age=0.2), 25.71)
         self.assertEqual(self.blocked(), {BAD})
 
     def test_what_was_there_before_counts(self):
@@ -136,7 +136,7 @@
         """Take in all ends, which another VM noticed at one moment."""
         for endpoint, held in self.HELD:
             told = dataclasses.replace(trace(BAD, endpoint), held=held)
-            self.book.take(told, self.now + delay)
+            self.book.record(told, self.now + delay)
 
     def test_it_stays_blocked(self):
         self.take_after(0.027)
@@ -158,7 +158,7 @@
         for number, at in enumerate(times):
             self.now = at
             name = "beside" if number == len(times) - 1 else BAD
-            self.book.take(trace(name, f"e{number}"), at)
+            self.book.record(trace(name, f"e{number}"), at)
 
     def test_it_is_not_blocked(self):
         self.lose(25.375, 25.378, 25.380, 25.400)
@@ -183,7 +183,7 @@
     def test_many_vms_tell_of_one_end(self):
         for age in (0.0, 0.01, 0.3):
             self.take(trace(BAD, "e1", age=age))
-        self.assertEqual(len(self.book.ends), 1)
+        self.assertEqual(len(self.book.crashes), 1)
         self.assertEqual(self.blocked(), set())
 
     def test_an_endpoint_that_is_back_under_its_name_ends_anew(self):
@@ -217,7 +217,7 @@
         bad = ((None, 0.111), (0.083, 0.382), (None, 0.571))
         good = ((2.172, 2.285), (0.256, 0.384), (0.412, 0.571))
         for number, rows in enumerate(zip(bad, good, strict=True)):
-            self.now += 2.0 * crashes.SAME_END_SECONDS
+            self.now += 2.0 * crashes.SAME_CRASH_SECONDS
             for name, (ran, held) in zip((BAD, GOOD), rows, strict=True):
                 self.take(trace(name, f"e{number}", ran=ran, held=held))
         self.assertEqual(self.blocked(), {BAD})
@@ -270,7 +270,7 @@
 
     def test_news_of_an_end_before_it_come_late(self):
         self.take(answer(GOOD))
-        self.assertFalse(self.book.take(trace(GOOD, "e1", age=5.0), self.now))
+        self.assertFalse(self.book.record(trace(GOOD, "e1", age=5.0), self.now))
         self.assertFalse(self.book.is_suspect(GOOD))
 
 
@@ -283,9 +283,9 @@
             self.end(f"e{number}", BAD)
 
     def test_it_is_known_there(self):
-        self.assertTrue(self.book.is_known_elsewhere(BAD, NEW))
-        self.assertFalse(self.book.is_known_elsewhere(BAD, OTHER))
-        self.assertFalse(self.book.is_known_elsewhere(GOOD, NEW))
+        self.assertTrue(self.book.is_blocked_elsewhere(BAD, NEW))
+        self.assertFalse(self.book.is_blocked_elsewhere(BAD, OTHER))
+        self.assertFalse(self.book.is_blocked_elsewhere(GOOD, NEW))
         self.assertFalse(self.book.is_blocked(BAD, NEW))
 
     def test_one_end_is_enough(self):
@@ -294,7 +294,7 @@
 
     def test_an_answer_frees_it_there_only(self):
         self.take(answer(BAD, NEW))
-        self.assertFalse(self.book.is_known_elsewhere(BAD, NEW))
+        self.assertFalse(self.book.is_blocked_elsewhere(BAD, NEW))
         self.assertFalse(self.book.is_blocked(BAD, NEW))
         self.assertTrue(self.book.is_blocked(BAD, OLD))
 
@@ -306,9 +306,9 @@
         for number in range(3):
             self.end(f"e{number}", GOOD, ran=LATE)
             self.take(trace(BAD, f"e{number}"))
-        for number in range(crashes.MAX_ENDS + 50):
+        for number in range(crashes.MAX_CRASHES + 50):
             self.end(f"f{number}", f"r{number}")
-        self.assertLessEqual(len(self.book.ends), crashes.MAX_ENDS + 3)
+        self.assertLessEqual(len(self.book.crashes), crashes.MAX_CRASHES + 3)
         self.assertEqual(self.blocked(), {BAD})
         self.assertFalse(self.book.is_suspect(GOOD))
         self.assertFalse(self.book.is_suspect(Fingerprint("r0")))
@@ -316,20 +316,20 @@
     def test_many_requests_at_each_end(self):
         for number in range(200):
             self.end(f"e{number}", *(f"r{number}-{n}" for n in range(100)))
-        traces = sum(len(end.ran) for end in self.book.ends)
+        traces = sum(len(end.ran) for end in self.book.crashes)
         self.assertLessEqual(traces, crashes.MAX_TRACES)
-        self.assertEqual(len(self.book.ends_of), traces)
+        self.assertEqual(len(self.book.crashes_by_request), traces)
 
     def test_blocked_ones_go_where_there_are_too_many(self):
-        for number in range(crashes.MAX_ENDS):
+        for number in range(crashes.MAX_CRASHES):
             self.end(f"e{number}", f"bad-{number // 3}")
-        last = (crashes.MAX_ENDS - 1) // 3
+        last = (crashes.MAX_CRASHES - 1) // 3
         for number in range(3):
             self.end(f"f{number}", "bad-new")
         self.assertIn("bad-new", self.blocked())
         self.assertIn(f"bad-{last - 1}", self.blocked())
         self.assertNotIn("bad-0", self.blocked())
-        self.assertLessEqual(len(self.book.ends), crashes.MAX_ENDS)
+        self.assertLessEqual(len(self.book.crashes), crashes.MAX_CRASHES)
 
     def test_many_answers(self):
         for number in range(crashes.MAX_ANSWERED + 100):
@@ -345,7 +345,7 @@
         self.assertEqual(self.blocked(), {BAD})
         self.book.expire(self.now + crashes.BLOCKED_SECONDS + 60.0)
         self.assertEqual(self.blocked(), set())
-        self.assertEqual((self.book.ends, self.book.ends_of), ([], {}))
+        self.assertEqual((self.book.crashes, self.book.crashes_by_request), ([], {}))
 
 
 ENDS = st.lists(
@@ -366,26 +366,26 @@
     @given(ENDS, st.randoms(use_true_random=False))
     def test_in_any_order(self, rows, random):
         traces = [trace(name, endpoint, ran=ran) for name, endpoint, ran in rows]
-        first, second, third = CrashBook(), CrashBook(), CrashBook()
+        first, second, third = CrashHistory(), CrashHistory(), CrashHistory()
         for one in traces:
-            first.take(one, 100.0)
+            first.record(one, 100.0)
         random.shuffle(traces)
         for one in [*traces, *traces]:
-            second.take(one, 100.2)
+            second.record(one, 100.2)
         for one in first.traces(100.5):
-            third.take(one, 100.5)
+            third.record(one, 100.5)
         for book in (second, third):
             self.assertEqual(book.blocked, first.blocked)
             self.assertEqual(book.digest(), first.digest())
 
     def test_what_is_kept_for_good(self):
-        book = CrashBook()
+        book = CrashHistory()
         for number in range(3):
-            book.take(trace(BAD, f"e{number}"), 100.0)
-            book.take(trace(GOOD, f"e{number}", ran=LATE), 100.0)
+            book.record(trace(BAD, f"e{number}"), 100.0)
+            book.record(trace(GOOD, f"e{number}", ran=LATE), 100.0)
         kept = list(book.blocked_traces(101.0))
         self.assertEqual({one.fingerprint for one in kept}, {BAD})
-        again = CrashBook()
+        again = CrashHistory()
         for one in kept:
-            again.take(one, 500.0)
+            again.record(one, 500.0)
         self.assertEqual(again.blocked, book.blocked)
--- a/tests/state/requests/test_endpoints.py
+++ b/tests/state/requests/test_endpoints.py
@@ -42,12 +42,12 @@
         return Counter(endpoint.name for endpoint in picked if endpoint)
 
     def test_the_less_loaded_of_two_is_taken(self):
-        self.table.of("e0").in_flight = 3
+        self.table.state_of("e0").in_flight = 3
         self.assertEqual(set(self.choices(endpoints(2))), {"e1"})
 
     def test_none_where_all_are_at_their_limit(self):
         for name in ("e0", "e1"):
-            self.table.of(name).in_flight = 4
+            self.table.state_of(name).in_flight = 4
         self.assertIsNone(self.table.choose(endpoints(2), 0.0))
 
     def test_the_hint_is_taken_unless_it_is_full(self):
@@ -77,10 +77,12 @@
         self.table.succeeded("e1", "v/tag", 0.1, 0.0)
         fail("e0", 1.0)
         fail("e0", 10.0)
-        self.assertEqual(self.table.of("e0").ejected_until, 10.0 + EJECT_SECONDS)
+        self.assertEqual(self.table.state_of("e0").ejected_until, 10.0 + EJECT_SECONDS)
         self.table.succeeded("e1", "v/tag", 0.1, 15.0)
         fail("e0", 20.0)
-        self.assertEqual(self.table.of("e0").ejected_until, 20.0 + 2 * EJECT_SECONDS)
+        self.assertEqual(
+            self.table.state_of("e0").ejected_until, 20.0 + 2 * EJECT_SECONDS
+        )
 
     def test_half_of_them_remain_however_many_fail(self):
         for name in ("e0", "e1", "e2", "e3"):
@@ -115,12 +117,12 @@
         for vm in self.vms:
             for endpoint in endpoints(8):
                 busy = 4 if endpoint.name == favourite else 1
-                vm.of(endpoint.name).in_flight = busy
+                vm.state_of(endpoint.name).in_flight = busy
         (other,) = self.chosen("p")
         self.assertNotEqual(other, favourite)
         # While there is little to do, it stays.
         for vm in self.vms:
-            vm.of(favourite).in_flight = 1
+            vm.state_of(favourite).in_flight = 1
         self.assertEqual(self.chosen("p"), {favourite})
 
     def test_a_slow_one_loses_prefixes_and_hints_and_gets_them_back(self):
@@ -141,7 +143,7 @@
         for now in range(8):
             vm.failed("e0", float(now))
             vm.succeeded("e0")
-        self.assertGreater(vm.of("e0").slow_by(8.0), 2.0)
+        self.assertGreater(vm.state_of("e0").slow_by(8.0), 2.0)
 
 
 class SubsetTest(unittest.TestCase):
--- a/tests/state/requests/test_broken.py
+++ b/tests/state/requests/test_interrupted.py
@@ -12,31 +12,33 @@
     ServiceName,
     VersionName,
 )
-from walnutquay.state.requests.broken import (
+from walnutquay.state.requests.crashtypes import CrashTarget, CrashTrace
+from walnutquay.state.requests.interrupted import (
     KEPT_SECONDS,
     MAX_KEPT,
     TOGETHER_SECONDS,
-    Broken,
-    BrokenRequests,
+    InterruptedRequest,
+    InterruptedRequests,
 )
-from walnutquay.state.requests.ends import CrashTarget, CrashTrace
 
 TARGET = CrashTarget(ServiceName("s"), VersionName("v1"))
 ENDPOINT = EndpointName("e1")
 
 
-def broken(name: str, at: float, endpoint: str = ENDPOINT) -> Broken:
+def broken(name: str, at: float, endpoint: str = ENDPOINT) -> InterruptedRequest:
     """:returns: a request that broke."""
     name = Fingerprint(name)
-    return Broken(at, CrashTrace(name, TARGET, EndpointName(endpoint), 0.0, 0.1))
+    return InterruptedRequest(
+        at, CrashTrace(name, TARGET, EndpointName(endpoint), 0.0, 0.1)
+    )
 
 
 class EndedTest(unittest.TestCase):
     """The next start tells what broke by the end before it."""
 
-    def ended(self, *seen: Broken, now: float) -> list[str]:
+    def ended(self, *seen: InterruptedRequest, now: float) -> list[str]:
         """:returns: the requests that broke by the endpoint's end."""
-        requests = BrokenRequests()
+        requests = InterruptedRequests()
         for one in seen:
             requests.note(one)
         return [trace.fingerprint for trace in requests.ended(ENDPOINT, now)]
@@ -55,7 +57,7 @@
         self.assertEqual(self.ended(broken("a", 0.0), now=KEPT_SECONDS + 1.0), [])
 
     def test_each_end_counts_once(self):
-        requests = BrokenRequests()
+        requests = InterruptedRequests()
         requests.note(broken("a", 1.0))
         requests.note(broken("b", 1.0, "e2"))
         self.assertEqual(len(requests.ended(ENDPOINT, 2.0)), 1)
@@ -63,7 +65,7 @@
         self.assertEqual(len(requests.ended(EndpointName("e2"), 2.0)), 1)
 
     def test_the_oldest_go_first(self):
-        requests = BrokenRequests()
+        requests = InterruptedRequests()
         for number in range(MAX_KEPT + 5):
             requests.note(broken(f"r{number}", 1.0))
         self.assertEqual(len(requests.kept), MAX_KEPT)
--- a/tests/state/requests/test_requests.py
+++ b/tests/state/requests/test_requests.py
@@ -29,7 +29,7 @@
     Unclaimed: ("granted", "repeated", "unknown"),
     Received: ("admit", "refuse"),
     Admitted: ("dispatch", "refuse"),
-    Dispatched: ("answered", "unknown", "not_started", "go_on"),
+    Dispatched: ("answered", "unknown", "not_started", "proceed"),
     Continuing: ("dispatch", "answered", "unknown"),
 }
 ARGUMENTS = {"refuse": (REFUSAL,), "dispatch": ("e1",), "not_started": (PROOF,)}
@@ -59,7 +59,7 @@
                 seen += 1
                 taken_back = steps.count("not_started")
                 self.assertEqual(steps.count("dispatch"), taken_back, steps)
-                self.assertFalse(stages[-1].journey.may_have_run)
+                self.assertFalse(stages[-1].progress.may_have_run)
         self.assertGreater(seen, 10)
 
     def test_a_keyed_request_is_refused_only_after_its_claim(self):
--- a/tests/transport/test_peers.py
+++ b/tests/transport/test_peers.py
@@ -40,7 +40,7 @@
     VmName,
 )
 from walnutquay.state.process.metrics import Metrics  # noqa: E402
-from walnutquay.state.requests.ends import CrashTarget, CrashTrace  # noqa: E402
+from walnutquay.state.requests.crashtypes import CrashTarget, CrashTrace  # noqa: E402
 from walnutquay.state.routed.gains import GainCounts, GainRow, ModelPair  # noqa: E402
 from walnutquay.state.trials.counts import Measure, TrialCounts  # noqa: E402
 from walnutquay.state.trials.notes import SeenSession  # noqa: E402
--- a/walnutquay/coordination/own/admission.py
+++ b/walnutquay/coordination/own/admission.py
@@ -19,7 +19,7 @@
 from walnutquay.state.process.ids import RequestId
 from walnutquay.state.requests.endpoints import FULL_SECONDS, EndpointTable, subset
 from walnutquay.state.requests.refusals import Refusal, RefusalCode
-from walnutquay.state.requests.regions import within
+from walnutquay.state.requests.regions import filter_by_region
 from walnutquay.state.store.parts import Endpoint
 from walnutquay.transport.timers import monotonic
 
@@ -60,10 +60,12 @@
         :returns: the endpoints that this VM uses for it, where it may run.
         """
         region_of = self.configurations.current.regions
-        near = within(self.endpoints_of(need.target), need.regions, region_of)
+        near = filter_by_region(self.endpoints_of(need.target), need.regions, region_of)
         if near or need.regions is None:
             return near
-        return within(self._all_endpoints_of(need.target), need.regions, region_of)
+        return filter_by_region(
+            self._all_endpoints_of(need.target), need.regions, region_of
+        )
 
     def endpoints_of(self, target: str) -> list[Endpoint]:
         """Give the endpoints that this VM uses for a version or service.
@@ -115,7 +117,7 @@
 
         :param grant: the place.
         """
-        facts = self.table.of(grant.name)
+        facts = self.table.state_of(grant.name)
         facts.in_flight -= 1
         queue = self._queue(grant.endpoint.pool)
         queue.running -= 1
@@ -195,7 +197,7 @@
 
     def _grant(self, endpoint: Endpoint, now: float) -> Grant:
         queue = self._queue(endpoint.pool)
-        self.table.of(endpoint.name).in_flight += 1
+        self.table.state_of(endpoint.name).in_flight += 1
         queue.running += 1
         return Grant(endpoint, now, queue.pool.work)
 
--- a/walnutquay/coordination/own/chats.py
+++ b/walnutquay/coordination/own/chats.py
@@ -174,7 +174,7 @@
     ) -> EngineCall:
         body = {**turn.arrival.call.body, "model": turn.version.name}
         return EngineCall(
-            f"{turn.arrival.request}.{running.journey.dispatches}",
+            f"{turn.arrival.request}.{running.progress.dispatches}",
             grant.endpoint,
             orjson.dumps(body),
             grant.work.value,
@@ -207,7 +207,7 @@
         if await self._too_low(turn, answer):
             turn.best = whole
             turn.next_step()
-            return running.go_on()
+            return running.proceed()
         running.answered()
         return await self._finish(turn, whole)
 
--- a/walnutquay/coordination/own/endpoints.py
+++ b/walnutquay/coordination/own/endpoints.py
@@ -135,6 +135,6 @@
         self.context.timeline.emit(
             EventKind.ENDPOINT_LEAVING, endpoint=name, detail=source.value
         )
-        known = incarnation or self.table.of(name).incarnation
+        known = incarnation or self.table.state_of(name).incarnation
         if source is not LeavingSource.PEER:
             self.members.tell_all(EndpointLeaving(name, known))
--- a/walnutquay/coordination/own/health.py
+++ b/walnutquay/coordination/own/health.py
@@ -15,7 +15,7 @@
 from walnutquay.state.own.configuration import Configuration
 from walnutquay.state.process.events import EventKind
 from walnutquay.state.process.ids import RolloutState
-from walnutquay.state.requests.pace import PaceTable
+from walnutquay.state.requests.durations import DurationTable
 from walnutquay.transport.timers import monotonic
 
 # What the counts of a stage are called: this, the stage, the measure, the version.
@@ -45,7 +45,7 @@
         self.members = members
         self.tallies = tallies
         self.table = BrakeTable()
-        self.pace = PaceTable()
+        self.pace = DurationTable()
         # The stage of each version in roll-out, and since when it is in force here.
         self.since: dict[str, tuple[str, float]] = {}
         configurations.listeners.append(self.on_configuration)
--- a/walnutquay/coordination/own/keyed.py
+++ b/walnutquay/coordination/own/keyed.py
@@ -110,7 +110,7 @@
 
     async def _run_claimed(self, arrival: Arrival, stage: Received) -> Outcome:
         claims = self.parts.claims
-        journey = stage.journey
+        progress = stage.progress
         outcome: Outcome | None = None
         try:
             outcome = await self.run(arrival, stage)
@@ -119,7 +119,7 @@
             # Also when the caller has gone, or something has failed here.
             if isinstance(outcome, Whole):
                 claims.finish(arrival.request, RunState.ANSWERED, outcome.answer)
-            elif journey.may_have_run:
+            elif progress.may_have_run:
                 if claims.table.runs[arrival.request].state is RunState.RUNNING:
                     claims.finish(arrival.request, RunState.UNKNOWN)
             else:
--- a/walnutquay/coordination/own/services.py
+++ b/walnutquay/coordination/own/services.py
@@ -85,7 +85,7 @@
         self, turn: ServiceTurn, running: Dispatched, grant: Grant
     ) -> WholeAnswer:
         arrival = turn.arrival
-        dispatch = f"{arrival.request}.{running.journey.dispatches}"
+        dispatch = f"{arrival.request}.{running.progress.dispatches}"
         headers = {
             **arrival.headers,
             HEADER_REQUEST_ID: dispatch,
--- a/walnutquay/coordination/requests/crashes.py
+++ b/walnutquay/coordination/requests/crashes.py
@@ -26,9 +26,12 @@
 )
 from walnutquay.state.process.events import EventKind
 from walnutquay.state.process.ids import EndpointName, Fingerprint
-from walnutquay.state.requests.broken import Broken, BrokenRequests
-from walnutquay.state.requests.crashes import CrashBook
-from walnutquay.state.requests.ends import CrashTarget, CrashTrace
+from walnutquay.state.requests.crashes import CrashHistory
+from walnutquay.state.requests.crashtypes import CrashTarget, CrashTrace
+from walnutquay.state.requests.interrupted import (
+    InterruptedRequest,
+    InterruptedRequests,
+)
 from walnutquay.state.requests.refusals import Refusal, RefusalCode
 from walnutquay.state.store.instances import Instance
 from walnutquay.state.store.parts import Endpoint
@@ -55,9 +58,9 @@
     def __init__(self, context: Context, peers: Peers) -> None:
         self.context = context
         self.peers = peers
-        self.book = CrashBook()
+        self.book = CrashHistory()
         # What broke where nobody could tell whether the endpoint has ended.
-        self.broken = BrokenRequests()
+        self.broken = InterruptedRequests()
         self.tasks = Tasks()
         # Tries that are under way, shared by all requests that broke there.
         self.tries: dict[EndpointName, asyncio.Task[bool]] = {}
@@ -93,7 +96,7 @@
 
         :returns: its fingerprint, if an endpoint has ended under it.
         """
-        if not self.book.ends_of:
+        if not self.book.crashes_by_request:
             return None
         fingerprint = arrival.fingerprint()
         return fingerprint if self.book.is_suspect(fingerprint) else None
@@ -128,7 +131,7 @@
         """
         if self.book.is_blocked(fingerprint, target):
             return True
-        if not self.book.is_known_elsewhere(fingerprint, target):
+        if not self.book.is_blocked_elsewhere(fingerprint, target):
             return False
         if not self.peers.is_keeper(fingerprint):
             return True
@@ -186,7 +189,7 @@
         :param held: seconds for which the endpoint had it.
         """
         trace = CrashTrace(arrival.fingerprint(), target, endpoint, 0.0, ran, held=held)
-        self.broken.note(Broken(monotonic(), trace))
+        self.broken.note(InterruptedRequest(monotonic(), trace))
 
     def started_again(self, endpoint: EndpointName) -> None:
         """Take what broke there lately for broken by the endpoint's end.
@@ -243,7 +246,7 @@
             self._note(CrashTrace(fingerprint, target, endpoint, 0.0, answered=True))
 
     def _note(self, trace: CrashTrace) -> None:
-        if not self.book.take(trace, monotonic()):
+        if not self.book.record(trace, monotonic()):
             return
         self._tell_blocked("")
         self.news.tell(trace)
@@ -258,7 +261,7 @@
         """
         now = monotonic()
         for trace in traces:
-            self.book.take(trace, now)
+            self.book.record(trace, now)
         self._tell_blocked(vm)
 
     def blocked_traces(self) -> list[CrashTrace]:
@@ -310,7 +313,7 @@
 
     def _compare(self) -> None:
         """Forget what is too old, and let other VMs see whether they know the same."""
-        if not self.book.ends and not self.book.answered:
+        if not self.book.crashes and not self.book.answered:
             return
         self.book.expire(monotonic())
         self._tell_blocked("")
--- a/walnutquay/coordination/requests/crashnews.py
+++ b/walnutquay/coordination/requests/crashnews.py
@@ -20,8 +20,8 @@
     Envelope,
     Message,
 )
-from walnutquay.state.requests.crashes import CrashBook
-from walnutquay.state.requests.ends import CrashTrace
+from walnutquay.state.requests.crashes import CrashHistory
+from walnutquay.state.requests.crashtypes import CrashTrace
 from walnutquay.transport.timers import monotonic
 
 log = logbook.Logger(__name__)
@@ -71,7 +71,7 @@
     :param take: takes in what another VM has noted.
     """
 
-    def __init__(self, peers: Peers, book: CrashBook, take: Taker) -> None:
+    def __init__(self, peers: Peers, book: CrashHistory, take: Taker) -> None:
         self.peers = peers
         self.book = book
         self.take = take
--- a/walnutquay/coordination/requests/crashrecord.py
+++ b/walnutquay/coordination/requests/crashrecord.py
@@ -26,8 +26,8 @@
     ServiceName,
     VersionName,
 )
-from walnutquay.state.requests.crashes import MAX_ENDS
-from walnutquay.state.requests.ends import CrashTarget, CrashTrace
+from walnutquay.state.requests.crashes import MAX_CRASHES
+from walnutquay.state.requests.crashtypes import CrashTarget, CrashTrace
 from walnutquay.transport.timers import MICROSECONDS, unix_microseconds
 
 log = logbook.Logger(__name__)
@@ -118,7 +118,7 @@
         while True:
             try:
                 version = await self._read()
-                traces = self.watch.blocked_traces()[-MAX_ENDS:]
+                traces = self.watch.blocked_traces()[-MAX_CRASHES:]
                 await self.values.write(VALUE, encode_traces(traces), version)
                 self.written += 1
                 return
--- a/walnutquay/coordination/requests/paths.py
+++ b/walnutquay/coordination/requests/paths.py
@@ -286,7 +286,7 @@
         if turn.repeatable and in_time and self.may_retry(turn):
             turn.tried |= {grant.name}
             self.context.metrics.count("retries")
-            return running.go_on()
+            return running.proceed()
         return await self.give_up(turn, running, error)
 
     async def note_failure(
@@ -347,7 +347,7 @@
         now = monotonic()
         if error.status is not None:
             name = turn.arrival.fingerprint()
-            if not self.parts.failures.blames(name, grant.name, now):
+            if not self.parts.failures.counts_against_endpoint(name, grant.name, now):
                 return
         self.parts.table.failed(grant.name, now, turn.target)
 
--- a/walnutquay/coordination/requests/places.py
+++ b/walnutquay/coordination/requests/places.py
@@ -18,7 +18,7 @@
     VersionName,
     WorkKind,
 )
-from walnutquay.state.requests.ends import CrashTarget
+from walnutquay.state.requests.crashtypes import CrashTarget
 from walnutquay.state.requests.refusals import Refusal
 from walnutquay.state.routed.work import PromptWork
 from walnutquay.state.store.instances import Instance
--- a/walnutquay/coordination/routed/facts.py
+++ b/walnutquay/coordination/routed/facts.py
@@ -69,7 +69,7 @@
         endpoint = grant.endpoint
         assert isinstance(endpoint, Instance)
         now = monotonic()
-        facts = self.table.of(endpoint.name)
+        facts = self.table.state_of(endpoint.name)
         return {
             "hall": endpoint.hall,
             "runs": endpoint.version,
--- a/walnutquay/coordination/routed/path.py
+++ b/walnutquay/coordination/routed/path.py
@@ -310,7 +310,7 @@
                 larger = self.cascading.larger(turn, grant.name, head, may_retry)
                 if larger is not None:
                     turn.model = larger
-                    return running.go_on()
+                    return running.proceed()
                 judged = await self.streams.pass_on(turn, head, answer, grant, seconds)
                 self._learn(turn, grant, seconds, judged)
                 running.answered()
--- a/walnutquay/coordination/routed/places.py
+++ b/walnutquay/coordination/routed/places.py
@@ -25,7 +25,7 @@
 )
 from walnutquay.state.requests.endpoints import EndpointTable
 from walnutquay.state.requests.refusals import Refusal, RefusalCode
-from walnutquay.state.requests.regions import within
+from walnutquay.state.requests.regions import filter_by_region
 from walnutquay.state.routed.sizing import Demand, weight_of
 from walnutquay.state.routed.traffic import PromptTraffic, SentPrompt
 from walnutquay.state.routed.work import PromptWork, WorkTable, preferred_of
@@ -142,7 +142,7 @@
                 )
             )
         now = monotonic()
-        left = self.reach.within(left)
+        left = self.reach.filter_by_region(left)
         if need.suspect:
             chosen = self._apart(left, need, now)
         elif need.work is not None:
@@ -160,7 +160,7 @@
                 )
             )
         self.cold.sent(chosen, now)
-        self.table.of(chosen.name).in_flight += 1
+        self.table.state_of(chosen.name).in_flight += 1
         if need.work is None:
             return Ok(Grant(chosen, now, WorkKind.QUICK))
         return Ok(self._with_work(Grant(chosen, now, WorkKind.PATIENT), need))
@@ -168,7 +168,7 @@
     def _untried(self, need: Need) -> list[Instance]:
         """Give the endpoints that could serve a request and have not failed it."""
         candidates = self.candidates(ServiceName(need.target), need.version)
-        allowed = within(candidates, need.regions, self.region_of)
+        allowed = filter_by_region(candidates, need.regions, self.region_of)
         return [item for item in allowed if item.name not in need.tried]
 
     def unreached(self, grant: Grant, silent: bool) -> None:
@@ -242,9 +242,9 @@
         :returns: the engines; None where no endpoint may be sent it now.
         """
         now = monotonic()
-        allowed = within(self.candidates(service), regions, self.region_of)
-        left = self.reach.within(self.cold.open(allowed, now))
-        open_ones = self.table.open_ones(left, now, frozenset()) or left
+        allowed = filter_by_region(self.candidates(service), regions, self.region_of)
+        left = self.reach.filter_by_region(self.cold.open(allowed, now))
+        open_ones = self.table.accepting(left, now, frozenset()) or left
         return self._engines(open_ones, service, now) if open_ones else None
 
     def reading_of(self, grant: Grant) -> float | None:
@@ -298,7 +298,7 @@
         self, left: list[Instance], need: Need, work: PromptWork, now: float
     ) -> Instance | None:
         """Choose the engine that is likely to have read a prompt first."""
-        open_ones = self.table.open_ones(left, now, need.tried)
+        open_ones = self.table.accepting(left, now, need.tried)
         if not open_ones:
             return None
         service = ServiceName(need.target)
@@ -316,19 +316,20 @@
         All tries of the request meet there, and what was beside it is spread over the
         others: so one more end tells it from most of these, and no two end at a time.
         """
-        open_ones = self.table.open_ones(left, now, need.tried) or left
+        open_ones = self.table.accepting(left, now, need.tried) or left
         name = preferred_of([item.name for item in open_ones], need.suspect)
         return next((item for item in open_ones if item.name == name), None)
 
     def _least_loaded(self, left: list[Instance], now: float) -> Instance | None:
         """Choose where to queue; endpoints that have just refused are left out."""
         open_ones = [
-            item for item in left if self.table.of(item.name).full_until <= now
+            item for item in left if self.table.state_of(item.name).full_until <= now
         ]
         if not open_ones:
             return None
         return min(
-            open_ones, key=lambda item: self.table.of(item.name).load(now) / item.slots
+            open_ones,
+            key=lambda item: self.table.state_of(item.name).load(now) / item.slots,
         )
 
     def on_instance(self, name: EndpointName, instance: Instance | None) -> None:
@@ -364,7 +365,7 @@
         known = self.book.known.get(endpoint.name)
         # The places of an earlier start went with it.
         if known is not None and known.is_same_start(endpoint):
-            facts = self.table.of(grant.name)
+            facts = self.table.state_of(grant.name)
             facts.in_flight = max(0, facts.in_flight - 1)
 
     def full(self, grant: Grant) -> None:
--- a/walnutquay/coordination/routed/promptengines.py
+++ b/walnutquay/coordination/routed/promptengines.py
@@ -54,7 +54,7 @@
         self.now = now
         self.names = [engine.name for engine in engines]
         self.is_near = [engine.hall == beliefs.hall for engine in engines]
-        facts = [beliefs.table.of(name) for name in self.names]
+        facts = [beliefs.table.state_of(name) for name in self.names]
         # How many times as long as usual each takes, and seconds until it could begin.
         self.slow = [known.slow_by(now) for known in facts]
         waits = beliefs.work.waits(self.names, now)
--- a/walnutquay/daemon/beliefs.py
+++ b/walnutquay/daemon/beliefs.py
@@ -47,7 +47,7 @@
             "incarnation": facts.incarnation,
             "leaving": {s.value: i for s, i in facts.leaving.items()},
         }
-        for name, facts in parts.table.facts.items()
+        for name, facts in parts.table.states.items()
     }
 
 
--- a/walnutquay/daemon/gatewayapi.py
+++ b/walnutquay/daemon/gatewayapi.py
@@ -256,7 +256,7 @@
     def _response(self, outcome: Outcome) -> Response:
         if isinstance(outcome, Refused):
             proof = outcome.proof
-            return _refusal_response(proof.refusal, proof.journey.request)
+            return _refusal_response(proof.refusal, proof.progress.request)
         if isinstance(outcome, Unknown):
             return _unknown_response(outcome)
         assert isinstance(outcome, Whole)
@@ -313,7 +313,7 @@
         status=outcome.status,
         content_type=JSON_TYPE,
     )
-    _label(response, outcome.stage.journey.request, outcome.retry_after)
+    _label(response, outcome.stage.progress.request, outcome.retry_after)
     return response
 
 
--- a/walnutquay/daemon/metricsapi.py
+++ b/walnutquay/daemon/metricsapi.py
@@ -136,7 +136,7 @@
     def _crashes(self) -> Iterator[str]:
         """Tell how many requests are held to end endpoints, or were there."""
         book = self.path.parts.crashes.book
-        yield f"{PREFIX}_requests_suspected {len(book.ends_of)}"
+        yield f"{PREFIX}_requests_suspected {len(book.crashes_by_request)}"
         for target, blocked in sorted(book.blocked.items()):
             label = f'service="{target.service}",version="{escaped(target.version)}"'
             yield f"{PREFIX}_requests_blocked{{{label}}} {len(blocked)}"
@@ -146,7 +146,7 @@
         book = self.knowledge.instances.book
         for hall in sorted(self.knowledge.halls.emptied.orders):
             running = sum(
-                self.path.parts.table.of(item.name).in_flight
+                self.path.parts.table.state_of(item.name).in_flight
                 for item in book.known.values()
                 if item.hall == hall
             )
@@ -156,7 +156,7 @@
         now = monotonic()
         states: Counter[tuple[str, str]] = Counter()
         for item in self.knowledge.instances.book.known.values():
-            facts = self.path.parts.table.of(item.name)
+            facts = self.path.parts.table.state_of(item.name)
             if item.leaving:
                 state = "leaving"
             elif item.hall in self.knowledge.halls.emptied:
--- a/walnutquay/daemon/status.py
+++ b/walnutquay/daemon/status.py
@@ -89,5 +89,5 @@
     running = dict.fromkeys(sorted(current.emptied_halls), 0)
     for endpoint in current.content.endpoints:
         if endpoint.hall in running:
-            running[endpoint.hall] += parts.table.of(endpoint.name).in_flight
+            running[endpoint.hall] += parts.table.state_of(endpoint.name).in_flight
     return running
--- a/walnutquay/protocol/messages.py
+++ b/walnutquay/protocol/messages.py
@@ -10,7 +10,7 @@
 from walnutquay.state.fleet.membership import VmPlace
 from walnutquay.state.process.clock import Stamp
 from walnutquay.state.process.ids import HallName, VmName
-from walnutquay.state.requests.ends import CrashTrace
+from walnutquay.state.requests.crashtypes import CrashTrace
 from walnutquay.state.routed.gains import GainRow
 from walnutquay.state.trials.notes import SeenSession
 from walnutquay.state.trials.reports import TrialReport
--- a/walnutquay/protocol/peer.py
+++ b/walnutquay/protocol/peer.py
@@ -27,7 +27,7 @@
     VersionName,
     VmName,
 )
-from walnutquay.state.requests.ends import CrashTarget, CrashTrace
+from walnutquay.state.requests.crashtypes import CrashTarget, CrashTrace
 from walnutquay.state.routed.gains import GainCounts, GainRow, ModelPair
 from walnutquay.state.trials.counts import Measure, TrialCounts
 from walnutquay.state.trials.notes import SeenSession
--- a/walnutquay/protocol/peerfields.py
+++ b/walnutquay/protocol/peerfields.py
@@ -9,7 +9,7 @@
 
 from walnutquay.exceptions import MessageError
 from walnutquay.protocol import messages as m
-from walnutquay.state.requests.ends import CrashTrace
+from walnutquay.state.requests.crashtypes import CrashTrace
 from walnutquay.state.trials.reports import AnswerCounts
 
 # Stands for a time that is not known; times that are known are not negative.
--- a/walnutquay/state/requests/culprits.py
+++ b/walnutquay/state/requests/attribution.py
@@ -8,11 +8,11 @@
 from collections.abc import Mapping
 
 from walnutquay.state.process.ids import Fingerprint
-from walnutquay.state.requests.ends import End
+from walnutquay.state.requests.crashtypes import EndpointCrash
 
 # A request that so many endpoints have ended under is sent to no other one: with fewer,
 # one that was beside another such request by chance would be taken for one.
-ENDS_TO_BLOCK = 3
+CRASHES_TO_BLOCK = 3
 # Of these, so many must have no other explanation: what was beside several others that
 # end endpoints has been at as many ends as they, and one more may be a chance.
 OWN_ENDS_TO_BLOCK = 2
@@ -21,33 +21,35 @@
 
 
 # Requests with the ends at which they were.
-Chosen = dict[Fingerprint, frozenset[End]]
+Chosen = dict[Fingerprint, frozenset[EndpointCrash]]
 
 
-def culprits(ends_of: Mapping[Fingerprint, list[End]]) -> frozenset[Fingerprint]:
+def crashing_requests(
+    crashes_by_request: Mapping[Fingerprint, list[EndpointCrash]],
+) -> frozenset[Fingerprint]:
     """Find the requests that are held to have ended endpoints.
 
-    :param ends_of: the ends at which each request was.
+    :param crashes_by_request: the ends at which each request was.
     :returns: those that are to be sent to no other endpoint.
     """
     suspects = {
         fingerprint: frozenset(ends)
-        for fingerprint, ends in ends_of.items()
+        for fingerprint, ends in crashes_by_request.items()
         if len(ends) >= ENDS_TO_EXPLAIN
     }
-    if not any(len(ends) >= ENDS_TO_BLOCK for ends in suspects.values()):
+    if not any(len(ends) >= CRASHES_TO_BLOCK for ends in suspects.values()):
         return frozenset()
     chosen = _without_spare_ones(_cover(suspects))
     return frozenset(
-        name for name, ends in chosen.items() if len(ends) >= ENDS_TO_BLOCK
+        name for name, ends in chosen.items() if len(ends) >= CRASHES_TO_BLOCK
     )
 
 
-def _cover(suspects: Mapping[Fingerprint, frozenset[End]]) -> Chosen:
+def _cover(suspects: Mapping[Fingerprint, frozenset[EndpointCrash]]) -> Chosen:
     """Choose requests that explain all ends, each time the one that explains most."""
     left = dict(suspects)
     chosen: Chosen = {}
-    explained: set[End] = set()
+    explained: set[EndpointCrash] = set()
     while left:
         best = max(
             left, key=lambda name: (len(left[name] - explained), *_odds(name, left))
@@ -92,7 +94,7 @@
     return (len(known), -max(known, default=0.0), -sum(known), name)
 
 
-def _longest_run(name: Fingerprint, end: End) -> float:
+def _longest_run(name: Fingerprint, end: EndpointCrash) -> float:
     """Give the seconds for which an endpoint can have run a request as it ended.
 
     One whose answer had not begun may have waited there, or just have begun to run.
@@ -101,7 +103,7 @@
     return end.at - end.sent[name] if ran is None else ran
 
 
-def _own(name: Fingerprint, chosen: Chosen) -> frozenset[End]:
+def _own(name: Fingerprint, chosen: Chosen) -> frozenset[EndpointCrash]:
     """Give the ends of a request that no other chosen one explains."""
     others = (ends for other, ends in chosen.items() if other != name)
     return chosen[name].difference(*others)
--- a/walnutquay/state/requests/crashes.py
+++ b/walnutquay/state/requests/crashes.py
@@ -14,14 +14,14 @@
 import xxhash
 
 from walnutquay.state.process.ids import EndpointName, Fingerprint, ServiceName
-from walnutquay.state.requests.culprits import culprits
-from walnutquay.state.requests.ends import CrashTarget, CrashTrace, End
+from walnutquay.state.requests.attribution import crashing_requests
+from walnutquay.state.requests.crashtypes import CrashTarget, CrashTrace, EndpointCrash
 
 # So many ends are enough where another version of the service is kept from a request.
-ENDS_OF_KNOWN_ONE = 1
+CRASHES_TO_BLOCK_ELSEWHERE = 1
 # What broke at one endpoint within so long broke by the same end; it is back seconds
 # later at the soonest, and may have the same name then.
-SAME_END_SECONDS = 1.0
+SAME_CRASH_SECONDS = 1.0
 # Endpoints that end within so long of each other end by one cause: VMs notice an end
 # some 10 ms after it, and one that is sent a request begins to run it later than that.
 SAME_MOMENT_SECONDS = 0.05
@@ -31,19 +31,19 @@
 # a new version.
 BLOCKED_SECONDS = 86_400.0
 # Bounds of memory, the oldest out first: some 150 bytes for each request at an end.
-MAX_ENDS = 500
+MAX_CRASHES = 500
 MAX_TRACES = 10_000
 MAX_ANSWERED = 1_000
 
 
-class CrashBook:
+class CrashHistory:
     """What is known of requests that were at endpoints as these ended."""
 
     def __init__(self) -> None:
         # In the order in which they became known.
-        self.ends: list[End] = []
+        self.crashes: list[EndpointCrash] = []
         # The same by request.
-        self.ends_of: dict[Fingerprint, list[End]] = {}
+        self.crashes_by_request: dict[Fingerprint, list[EndpointCrash]] = {}
         # When a request was last answered whole by a version; monotonic seconds.
         self.answered: dict[tuple[Fingerprint, CrashTarget], float] = {}
         # The requests that each version is kept from, as last judged; and the versions
@@ -55,7 +55,7 @@
     def blocked(self) -> dict[CrashTarget, frozenset[Fingerprint]]:
         """The requests that each version is kept from."""
         for target in self.unjudged:
-            found = culprits(self._ends_by_request(target))
+            found = crashing_requests(self._ends_by_request(target))
             if found:
                 self.judged[target] = found
             else:
@@ -63,15 +63,19 @@
         self.unjudged.clear()
         return self.judged
 
-    def _ends_by_request(self, target: CrashTarget) -> dict[Fingerprint, list[End]]:
+    def _ends_by_request(
+        self, target: CrashTarget
+    ) -> dict[Fingerprint, list[EndpointCrash]]:
         """Give the requests at several ends of a version's endpoints."""
         return {
             fingerprint: self._own_ends(fingerprint, target)
-            for fingerprint, known in self.ends_of.items()
+            for fingerprint, known in self.crashes_by_request.items()
             if len(known) > 1
         }
 
-    def _own_ends(self, fingerprint: Fingerprint, target: CrashTarget) -> list[End]:
+    def _own_ends(
+        self, fingerprint: Fingerprint, target: CrashTarget
+    ) -> list[EndpointCrash]:
         """Give the ends that a request may have brought about by itself.
 
         Where another endpoint ended at the same moment without it, both had another
@@ -84,7 +88,7 @@
         """
         others = [
             end.at
-            for end in self.ends
+            for end in self.crashes
             if end.target == target
             and fingerprint not in end.ran
             and not any(self._recurs(other) for other in end.ran)
@@ -97,7 +101,7 @@
 
     def _recurs(self, fingerprint: Fingerprint) -> bool:
         """Whether endpoints have ended under a request at different moments."""
-        times = [end.at for end in self.ends_of[fingerprint]]
+        times = [end.at for end in self.crashes_by_request[fingerprint]]
         return max(times) - min(times) >= SAME_MOMENT_SECONDS
 
     def is_suspect(self, fingerprint: Fingerprint) -> bool:
@@ -105,7 +109,7 @@
 
         :returns: whether an endpoint has ended under it, and it was not answered since.
         """
-        return fingerprint in self.ends_of
+        return fingerprint in self.crashes_by_request
 
     def is_blocked(self, fingerprint: Fingerprint, target: CrashTarget) -> bool:
         """:param fingerprint: a request.
@@ -115,11 +119,13 @@
         """
         if fingerprint in self.blocked.get(target, ()):
             return True
-        if not self.is_known_elsewhere(fingerprint, target):
+        if not self.is_blocked_elsewhere(fingerprint, target):
             return False
-        return len(self._ends_at(fingerprint, target)) >= ENDS_OF_KNOWN_ONE
+        return len(self._ends_at(fingerprint, target)) >= CRASHES_TO_BLOCK_ELSEWHERE
 
-    def is_known_elsewhere(self, fingerprint: Fingerprint, target: CrashTarget) -> bool:
+    def is_blocked_elsewhere(
+        self, fingerprint: Fingerprint, target: CrashTarget
+    ) -> bool:
         """:param fingerprint: a request.
 
         :param target: a version.
@@ -135,26 +141,30 @@
             for other, blocked in self.blocked.items()
         )
 
-    def evidence(self, fingerprint: Fingerprint, service: ServiceName) -> list[End]:
+    def evidence(
+        self, fingerprint: Fingerprint, service: ServiceName
+    ) -> list[EndpointCrash]:
         """:param fingerprint: a request.
 
         :param service: a service.
         :returns: the ends of its endpoints at which the request was, in order.
         """
-        known = self.ends_of.get(fingerprint, ())
+        known = self.crashes_by_request.get(fingerprint, ())
         return [
             end
             for end in known
             if end.target.service == service and end.had(fingerprint)
         ]
 
-    def _ends_at(self, fingerprint: Fingerprint, target: CrashTarget) -> list[End]:
+    def _ends_at(
+        self, fingerprint: Fingerprint, target: CrashTarget
+    ) -> list[EndpointCrash]:
         known = self.evidence(fingerprint, target.service)
         return [end for end in known if end.target == target]
 
     # Taking in.
 
-    def take(self, trace: CrashTrace, now: float) -> bool:
+    def record(self, trace: CrashTrace, now: float) -> bool:
         """Take in a trace, seen here or told by another VM.
 
         :param trace: the trace.
@@ -178,13 +188,13 @@
             return False
         end.ran[trace.fingerprint] = trace.ran
         end.sent[trace.fingerprint] = sent
-        self.ends_of.setdefault(trace.fingerprint, []).append(end)
+        self.crashes_by_request.setdefault(trace.fingerprint, []).append(end)
         self._bound()
-        if len(self.ends_of.get(trace.fingerprint, ())) > 1:
+        if len(self.crashes_by_request.get(trace.fingerprint, ())) > 1:
             self.unjudged.add(trace.target)
         return True
 
-    def _correct(self, end: End, trace: CrashTrace, sent: float) -> None:
+    def _correct(self, end: EndpointCrash, trace: CrashTrace, sent: float) -> None:
         """Take the earlier of two times at which a request was sent to an endpoint.
 
         News that took long to come make both the end and the sending seem later.
@@ -193,13 +203,13 @@
             end.sent[trace.fingerprint] = sent
             self.unjudged.add(trace.target)
 
-    def _end_of(self, trace: CrashTrace, at: float) -> End:
-        for end in reversed(self.ends):
+    def _end_of(self, trace: CrashTrace, at: float) -> EndpointCrash:
+        for end in reversed(self.crashes):
             same = end.endpoint == trace.endpoint and end.target == trace.target
-            if same and abs(end.at - at) < SAME_END_SECONDS:
+            if same and abs(end.at - at) < SAME_CRASH_SECONDS:
                 return end
-        end = End(trace.endpoint, trace.target, at)
-        self.ends.append(end)
+        end = EndpointCrash(trace.endpoint, trace.target, at)
+        self.crashes.append(end)
         return end
 
     def _take_answer(self, trace: CrashTrace, at: float) -> bool:
@@ -212,7 +222,7 @@
         self.answered[key] = at
         while len(self.answered) > MAX_ANSWERED:
             del self.answered[next(iter(self.answered))]
-        known = self.ends_of.get(trace.fingerprint, ())
+        known = self.crashes_by_request.get(trace.fingerprint, ())
         before = [e for e in known if e.target == trace.target and e.at <= at]
         for end in before:
             self._forget(trace.fingerprint, end)
@@ -220,14 +230,16 @@
             self.unjudged.add(trace.target)
         return fresh or bool(before)
 
-    def _forget(self, fingerprint: Fingerprint, end: End) -> None:
+    def _forget(self, fingerprint: Fingerprint, end: EndpointCrash) -> None:
         del end.ran[fingerprint]
         del end.sent[fingerprint]
-        left = [other for other in self.ends_of[fingerprint] if other is not end]
+        left = [
+            other for other in self.crashes_by_request[fingerprint] if other is not end
+        ]
         if left:
-            self.ends_of[fingerprint] = left
+            self.crashes_by_request[fingerprint] = left
         else:
-            del self.ends_of[fingerprint]
+            del self.crashes_by_request[fingerprint]
 
     def _bound(self) -> None:
         """Keep to the bounds of memory.
@@ -235,17 +247,17 @@
         The oldest go first: what was beside blocked requests, and then these too, for
         new ones must be found as well.
         """
-        traces = sum(len(end.ran) for end in self.ends)
-        if len(self.ends) <= MAX_ENDS and traces <= MAX_TRACES:
+        traces = sum(len(end.ran) for end in self.crashes)
+        if len(self.crashes) <= MAX_CRASHES and traces <= MAX_TRACES:
             return
-        older = self.ends[: len(self.ends) // 2]
-        for ends, spared in ((older, dict(self.blocked)), (list(self.ends), {})):
+        older = self.crashes[: len(self.crashes) // 2]
+        for ends, spared in ((older, dict(self.blocked)), (list(self.crashes), {})):
             for end in ends:
-                if len(self.ends) <= MAX_ENDS and traces <= MAX_TRACES:
+                if len(self.crashes) <= MAX_CRASHES and traces <= MAX_TRACES:
                     return
                 traces -= self._drop(end, spared.get(end.target, frozenset()))
 
-    def _drop(self, end: End, spared: frozenset[Fingerprint]) -> int:
+    def _drop(self, end: EndpointCrash, spared: frozenset[Fingerprint]) -> int:
         """Forget the requests of an end, but for some.
 
         :returns: how many were forgotten.
@@ -254,7 +266,7 @@
         for fingerprint in dropped:
             self._forget(fingerprint, end)
         if not end.ran:
-            self.ends.remove(end)
+            self.crashes.remove(end)
         self.unjudged.add(end.target)
         return len(dropped)
 
@@ -267,7 +279,7 @@
             if now - at > FORGOTTEN_SECONDS:
                 del self.answered[key]
         known = dict(self.blocked)
-        for end in list(self.ends):
+        for end in list(self.crashes):
             blocked = known.get(end.target, frozenset())
             for fingerprint in list(end.ran):
                 kept = BLOCKED_SECONDS if fingerprint in blocked else FORGOTTEN_SECONDS
@@ -275,7 +287,7 @@
                     self._forget(fingerprint, end)
                     self.unjudged.add(end.target)
             if not end.ran:
-                self.ends.remove(end)
+                self.crashes.remove(end)
 
     # Telling.
 
@@ -284,7 +296,7 @@
 
         :param now: monotonic seconds.
         """
-        for end in self.ends:
+        for end in self.crashes:
             for fingerprint, ran in end.ran.items():
                 yield CrashTrace(
                     fingerprint,
@@ -303,7 +315,7 @@
         """:returns: what stands for all that is known; the same at VMs that know it."""
         rows = [
             f"{fingerprint} {end.endpoint} {end.target}"
-            for end in self.ends
+            for end in self.crashes
             for fingerprint in end.ran
         ]
         rows += [f"{fingerprint} {target}" for fingerprint, target in self.answered]
--- a/walnutquay/state/requests/ends.py
+++ b/walnutquay/state/requests/crashtypes.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class End:
+class EndpointCrash:
     """The end of an endpoint.
 
     :param endpoint: its name.
--- a/walnutquay/state/requests/pace.py
+++ b/walnutquay/state/requests/durations.py
@@ -11,7 +11,7 @@
 # An answer is slow that takes this many times as long as usual.
 SLOW_FACTOR = 2.0
 # What is usual is known after so many answers, and follows with this weight.
-MIN_SEEN = 5
+MIN_SAMPLES = 5
 WEIGHT = 0.1
 # Classes are named by callers, so their number is bounded.
 MAX_CLASSES = 1000
@@ -25,18 +25,18 @@
     seen: int = 0
 
 
-class PaceTable:
+class DurationTable:
     """The usual time of each class, learnt from a version that is trusted."""
 
     def __init__(self) -> None:
-        self.paces: LatestTable[str, _Pace] = LatestTable(MAX_CLASSES, _Pace)
+        self.means: LatestTable[str, _Pace] = LatestTable(MAX_CLASSES, _Pace)
 
     def learn(self, request_class: str, seconds: float) -> None:
         """:param request_class: the caller's class of request.
 
         :param seconds: how long the trusted version took.
         """
-        pace = self.paces.touch(request_class)
+        pace = self.means.touch(request_class)
         pace.seen += 1
         weight = max(WEIGHT, 1 / pace.seen)
         pace.seconds += weight * (seconds - pace.seconds)
@@ -47,8 +47,8 @@
         :param seconds: how long an answer took.
         :returns: how many times as long as usual; None where that is not known.
         """
-        pace = self.paces.get(request_class)
-        if pace is None or pace.seen < MIN_SEEN or not pace.seconds:
+        pace = self.means.get(request_class)
+        if pace is None or pace.seen < MIN_SAMPLES or not pace.seconds:
             return None
         return seconds / pace.seconds
 
--- a/walnutquay/state/requests/endpoints.py
+++ b/walnutquay/state/requests/endpoints.py
@@ -13,7 +13,7 @@
 import xxhash
 
 from walnutquay.state.process.ids import EndpointName, LeavingSource
-from walnutquay.state.requests.pace import SLOW_FACTOR, PaceTable
+from walnutquay.state.requests.durations import SLOW_FACTOR, DurationTable
 from walnutquay.state.store.parts import Endpoint
 
 # After this many failures in a row an endpoint is left out for a while.
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True)
-class EndpointFacts:
+class EndpointState:
     """What one VM knows of one endpoint.
 
     :param in_flight: requests of this VM that are running there.
@@ -77,7 +77,7 @@
     incarnation: str = ""
     leaving: dict[LeavingSource, str] = field(default_factory=dict)
 
-    def has_place(self, slots: int, now: float) -> bool:
+    def has_free_slot(self, slots: int, now: float) -> bool:
         """:param slots: requests that it runs at once.
 
         :param now: monotonic seconds.
@@ -148,33 +148,33 @@
     def __init__(self, hall: str, rng: random.Random) -> None:
         self.hall = hall
         self.rng = rng
-        self.facts: defaultdict[str, EndpointFacts] = defaultdict(EndpointFacts)
+        self.states: defaultdict[str, EndpointState] = defaultdict(EndpointState)
         # How long each kind of work usually takes, over all endpoints.
-        self.pace = PaceTable()
+        self.pace = DurationTable()
         # When any endpoint last answered for each version or service.
         self.answered_at: dict[str, float] = {}
 
-    def of(self, name: str) -> EndpointFacts:
+    def state_of(self, name: str) -> EndpointState:
         """:param name: an endpoint's name."""
-        return self.facts[name]
+        return self.states[name]
 
     def forget(self, name: str) -> None:
         """:param name: an endpoint that has ended."""
-        self.facts.pop(name, None)
+        self.states.pop(name, None)
 
     def forget_except(self, names: Iterable[str]) -> None:
         """:param names: the endpoints that are configured now."""
         kept = set(names)
-        for name in [name for name in self.facts if name not in kept]:
-            if not self.facts[name].in_flight:
-                del self.facts[name]
+        for name in [name for name in self.states if name not in kept]:
+            if not self.states[name].in_flight:
+                del self.states[name]
 
     def is_leaving(self, endpoint: Endpoint) -> bool:
         """:param endpoint: a configured endpoint.
 
         :returns: whether anybody has said that it is leaving.
         """
-        return endpoint.leaving or bool(self.of(endpoint.name).leaving)
+        return endpoint.leaving or bool(self.state_of(endpoint.name).leaving)
 
     def mark_leaving(
         self, name: EndpointName, source: LeavingSource, incarnation: str = ""
@@ -187,7 +187,7 @@
             where the source does not know it.
         :returns: whether this was news.
         """
-        facts = self.of(name)
+        facts = self.state_of(name)
         if incarnation and incarnation < facts.incarnation:
             return False
         news = not facts.leaving
@@ -207,7 +207,7 @@
         :param incarnation: the endpoint's incarnation.
         :param now: monotonic seconds.
         """
-        facts = self.of(name)
+        facts = self.state_of(name)
         if facts.incarnation and incarnation > facts.incarnation:
             facts.leaving.clear()
         facts.incarnation = max(facts.incarnation, incarnation)
@@ -225,7 +225,7 @@
         :param seconds: how long it took.
         :param now: monotonic seconds.
         """
-        facts = self.of(name)
+        facts = self.state_of(name)
         facts.failures = 0
         facts.ejections = 0
         if not kind:
@@ -246,7 +246,7 @@
         :param now: monotonic seconds.
         :param target: the version or service that failed; empty if not known.
         """
-        facts = self.of(name)
+        facts = self.state_of(name)
         facts.failures += 1
         facts.learn_speed(FAILED_RATIO, now)
         if facts.failures < FAILURES_TO_EJECT:
@@ -268,7 +268,7 @@
         :param name: the endpoint.
         :param now: monotonic seconds.
         """
-        self.of(name).full_until = now + FULL_SECONDS
+        self.state_of(name).full_until = now + FULL_SECONDS
 
     def usable(
         self, endpoints: list[Endpoint], now: float, tried: frozenset[str]
@@ -279,7 +279,7 @@
         :param now: monotonic seconds.
         :param tried: endpoints that have failed this request.
         """
-        facts = self.facts
+        facts = self.states
         staying = [
             endpoint
             for endpoint in endpoints
@@ -289,7 +289,7 @@
         ]
         return self._not_ejected(staying, now)
 
-    def open_ones(
+    def accepting(
         self, endpoints: list[Endpoint], now: float, tried: frozenset[str]
     ) -> list[Endpoint]:
         """Leave out those that are not usable, or have just said that they are full.
@@ -298,7 +298,7 @@
         :param now: monotonic seconds.
         :param tried: endpoints that have failed this request.
         """
-        facts = self.facts
+        facts = self.states
         usable = self.usable(endpoints, now, tried)
         return [item for item in usable if facts[item.name].full_until <= now]
 
@@ -324,21 +324,21 @@
         :param prefix: what stands for the prompt's beginning; empty for none.
         :returns: the endpoint, or None where none has room.
         """
-        open_ones = [
+        accepting = [
             endpoint
             for endpoint in self.usable(endpoints, now, tried)
-            if self.of(endpoint.name).has_place(endpoint.slots, now)
+            if self.state_of(endpoint.name).has_free_slot(endpoint.slots, now)
         ]
-        if not open_ones:
+        if not accepting:
             return None
-        for endpoint in open_ones:
+        for endpoint in accepting:
             if endpoint.name == hint and self._has_room(endpoint, now):
                 return endpoint
         if prefix:
-            favourite = self._favourite(open_ones, prefix, now)
+            favourite = self._favourite(accepting, prefix, now)
             if favourite is not None:
                 return favourite
-        pair = self.rng.sample(open_ones, min(2, len(open_ones)))
+        pair = self.rng.sample(accepting, min(2, len(accepting)))
         return min(pair, key=lambda endpoint: self._weight(endpoint, now))
 
     def _favourite(
@@ -352,7 +352,9 @@
         Loads", 2016), and then it is the next one in rank.
         """
         loads = [
-            self.of(e.name).load(now) * self.of(e.name).slow_by(now) / e.slots
+            self.state_of(e.name).load(now)
+            * self.state_of(e.name).slow_by(now)
+            / e.slots
             for e in endpoints
         ]
         bound = max(MIN_SHARE_BUSY, LOAD_BOUND * sum(loads) / len(loads))
@@ -376,22 +378,22 @@
         return sum(not self.is_leaving(endpoint) for endpoint in endpoints)
 
     def _not_ejected(self, endpoints: list[Endpoint], now: float) -> list[Endpoint]:
-        facts = self.facts
+        facts = self.states
         fine = [e for e in endpoints if facts[e.name].ejected_until <= now]
         if len(fine) >= FLOOR_SHARE * len(endpoints):
             return fine
-        by_end = sorted(endpoints, key=lambda e: self.of(e.name).ejected_until)
+        by_end = sorted(endpoints, key=lambda e: self.state_of(e.name).ejected_until)
         floor = max(1, round(FLOOR_SHARE * len(endpoints)))
         return by_end[:floor]
 
     def _has_room(self, endpoint: Endpoint, now: float) -> bool:
         """Whether it is worth going to for what it has cached."""
-        facts = self.of(endpoint.name)
+        facts = self.state_of(endpoint.name)
         fast = facts.slow_by(now) < SLOW_FACTOR
         return fast and facts.load(now) < endpoint.slots
 
     def _weight(self, endpoint: Endpoint, now: float) -> float:
-        facts = self.of(endpoint.name)
+        facts = self.state_of(endpoint.name)
         penalty = 0 if endpoint.hall == self.hall else OTHER_HALL_PENALTY
         # With the request itself: an idle endpoint that is slow is slow all the same.
         load = (facts.load(now) + 1) * facts.slow_by(now)
--- a/walnutquay/state/requests/failures.py
+++ b/walnutquay/state/requests/failures.py
@@ -26,7 +26,7 @@
         self.failed_at: OrderedDict[Fingerprint, set[EndpointName]] = OrderedDict()
         self.last: dict[Fingerprint, float] = {}
 
-    def blames(
+    def counts_against_endpoint(
         self, fingerprint: Fingerprint, endpoint: EndpointName, now: float
     ) -> bool:
         """Take in a failure.
--- a/walnutquay/state/requests/broken.py
+++ b/walnutquay/state/requests/interrupted.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, replace
 
 from walnutquay.state.process.ids import EndpointName
-from walnutquay.state.requests.ends import CrashTrace
+from walnutquay.state.requests.crashtypes import CrashTrace
 
 # An endpoint that has ended is back, and listed, within so long; what broke before that
 # had another reason.
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class InterruptedRequest:
     """A request whose connection to an endpoint broke.
 
     :param at: when; monotonic seconds.
@@ -31,13 +31,13 @@
     trace: CrashTrace
 
 
-class BrokenRequests:
+class InterruptedRequests:
     """Keeps what broke until the endpoint's next start tells that it has ended."""
 
     def __init__(self) -> None:
-        self.kept: deque[Broken] = deque(maxlen=MAX_KEPT)
+        self.kept: deque[InterruptedRequest] = deque(maxlen=MAX_KEPT)
 
-    def note(self, broken: Broken) -> None:
+    def note(self, broken: InterruptedRequest) -> None:
         """:param broken: a request that broke now, for a reason that is not known."""
         self.kept.append(broken)
 
--- a/walnutquay/state/requests/regions.py
+++ b/walnutquay/state/requests/regions.py
@@ -23,7 +23,7 @@
     return frozenset.intersection(*sets) if sets else None
 
 
-def within(
+def filter_by_region(
     endpoints: list[Placed],
     allowed: frozenset[RegionName] | None,
     region_of: Mapping[HallName, RegionName],
--- a/walnutquay/state/requests/stages.py
+++ b/walnutquay/state/requests/stages.py
@@ -18,7 +18,7 @@
 from walnutquay.state.requests.refusals import Refusal
 
 
-class Journey:
+class RequestProgress:
     """What the stages of one request share.
 
     :param request: the request's id.
@@ -37,22 +37,22 @@
 class Stage:
     """The base of all stages; making one leaves the stage before."""
 
-    def __init__(self, journey: Journey) -> None:
-        self.journey = journey
-        journey.stage = self
+    def __init__(self, progress: RequestProgress) -> None:
+        self.progress = progress
+        progress.stage = self
 
-    def leave(self) -> Journey:
+    def leave(self) -> RequestProgress:
         """Check that the request still is in this stage.
 
         :returns: the journey, for the next stage.
         :raises SpentStageError: if the request has left this stage.
         """
-        if self.journey.stage is not self:
+        if self.progress.stage is not self:
             raise SpentStageError(
-                f"request {self.journey.request} has left this stage",
+                f"request {self.progress.request} has left this stage",
                 step=type(self).__name__.lower(),
             )
-        return self.journey
+        return self.progress
 
 
 class Undispatched(Stage):
@@ -130,13 +130,13 @@
 class Dispatched(Stage):
     """An endpoint may be working on the request."""
 
-    def __init__(self, journey: Journey, endpoint: EndpointName) -> None:
-        super().__init__(journey)
+    def __init__(self, progress: RequestProgress, endpoint: EndpointName) -> None:
+        super().__init__(progress)
         self.endpoint = endpoint
         # What was so before this dispatch, to return to if it never began.
-        self.ran_before = journey.may_have_run
-        journey.may_have_run = True
-        journey.dispatches += 1
+        self.ran_before = progress.may_have_run
+        progress.may_have_run = True
+        progress.dispatches += 1
 
     def answered(self) -> Answered:
         """End the request: its whole answer is here."""
@@ -153,11 +153,11 @@
         """
         if not isinstance(proof, NotStartedError):
             raise TypeError("only a NotStartedError proves that nothing began")
-        journey = self.leave()
-        journey.may_have_run = self.ran_before
-        return Continuing(journey) if self.ran_before else Received(journey)
+        progress = self.leave()
+        progress.may_have_run = self.ran_before
+        return Continuing(progress) if self.ran_before else Received(progress)
 
-    def go_on(self) -> Continuing:
+    def proceed(self) -> Continuing:
         """Go on to another dispatch after this one has run or failed."""
         return Continuing(self.leave())
 
@@ -193,7 +193,7 @@
 
     :param request: its id.
     """
-    return Received(Journey(request))
+    return Received(RequestProgress(request))
 
 
 def receive_keyed(request: RequestId) -> Unclaimed:
@@ -201,7 +201,7 @@
 
     :param request: its id.
     """
-    return Unclaimed(Journey(request))
+    return Unclaimed(RequestProgress(request))
 
 
 @dataclass(frozen=True, slots=True)
--- a/walnutquay/state/trials/usual.py
+++ b/walnutquay/state/trials/usual.py
@@ -15,7 +15,7 @@
 
 from walnutquay.state.process.counts import LatestTable
 from walnutquay.state.process.ids import HallName, ServiceName, VmName
-from walnutquay.state.requests.pace import MIN_SEEN, PaceTable
+from walnutquay.state.requests.durations import MIN_SAMPLES, DurationTable
 
 # Services that are kept; a platform has a few.
 MAX_SERVICES = 100
@@ -52,8 +52,8 @@
     """What is usual, learnt here and told by others."""
 
     def __init__(self) -> None:
-        self.own: LatestTable[ServiceName, PaceTable] = LatestTable(
-            MAX_SERVICES, PaceTable
+        self.own: LatestTable[ServiceName, DurationTable] = LatestTable(
+            MAX_SERVICES, DurationTable
         )
         # What each other VM has told last, and each other data hall; by kind.
         self.told: dict[ServiceName, dict[VmName, dict[int, UsualTime]]] = {}
@@ -82,7 +82,7 @@
         if ratio is not None:
             return ratio
         usual = self._usual_of(service, kind)
-        if usual.seen < MIN_SEEN or not usual.seconds:
+        if usual.seen < MIN_SAMPLES or not usual.seconds:
             return None
         return seconds / usual.seconds
 
@@ -106,7 +106,7 @@
             return ()
         return tuple(
             UsualTime(kind_number(kind), pace.seconds, min(pace.seen, MAX_SEEN))
-            for kind, pace in own.paces.entries.items()
+            for kind, pace in own.means.entries.items()
         )
 
     def rows_of_hall(self, service: ServiceName) -> tuple[UsualTime, ...]:
