--- a/lab/mutants/callers.py
+++ b/lab/mutants/callers.py
@@ -76,7 +76,7 @@
     Mutation(
         "requests that end engines: news told again move their sends as well",
         "state/requests/crashes.py",
-        "        if sent < end.sent[trace.fingerprint]:",
+        "        if sent < crash.sent[trace.fingerprint]:",
         "        if False:",
         "tests.state.requests.test_crashhistory.ToldAgainTest",
     ),
--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -176,7 +176,7 @@
     Mutation(
         "ends of endpoints: what had not begun may have run since it was sent",
         "state/requests/attribution.py",
-        "end.at - end.sent[name] if ran is None else ran",
+        "crash.at - crash.sent[request] if ran is None else ran",
         "math.inf if ran is None else ran",
         "tests.state.requests.test_crashhistory.BesideTest",
     ),
@@ -197,7 +197,7 @@
     Mutation(
         "ends of endpoints: what was only beside is not blocked",
         "state/requests/attribution.py",
-        "chosen = _without_spare_ones(_cover(suspects))",
+        "chosen = _without_redundant(_greedy_cover(suspects))",
         "chosen = suspects",
         "tests.state.requests.test_crashhistory.BesideTest",
     ),
@@ -212,7 +212,8 @@
     Mutation(
         "ends of endpoints: another version is tried once",
         "state/requests/crashes.py",
-        "return len(self._ends_at(fingerprint, target)) >= CRASHES_TO_BLOCK_ELSEWHERE",
+        "return len(self._crashes_of(fingerprint, target))"
+        " >= CRASHES_TO_BLOCK_ELSEWHERE",
         "return False",
         "tests.coordination.requests.test_crashes.MendedTest",
     ),
--- a/tests/state/requests/test_interrupted.py
+++ b/tests/state/requests/test_interrupted.py
@@ -16,7 +16,7 @@
 from walnutquay.state.requests.interrupted import (
     KEPT_SECONDS,
     MAX_KEPT,
-    TOGETHER_SECONDS,
+    SAME_CRASH_SECONDS,
     InterruptedRequest,
     InterruptedRequests,
 )
@@ -41,12 +41,12 @@
         requests = InterruptedRequests()
         for one in seen:
             requests.note(one)
-        return [trace.fingerprint for trace in requests.ended(ENDPOINT, now)]
+        return [trace.fingerprint for trace in requests.pop_crashed(ENDPOINT, now)]
 
     def test_what_broke_last_and_with_it(self):
         found = self.ended(
-            broken("before", 10.0 - 2 * TOGETHER_SECONDS),
-            broken("beside", 10.0 - TOGETHER_SECONDS),
+            broken("before", 10.0 - 2 * SAME_CRASH_SECONDS),
+            broken("beside", 10.0 - SAME_CRASH_SECONDS),
             broken("last", 10.0),
             broken("elsewhere", 10.0, "e2"),
             now=13.0,
@@ -60,9 +60,9 @@
         requests = InterruptedRequests()
         requests.note(broken("a", 1.0))
         requests.note(broken("b", 1.0, "e2"))
-        self.assertEqual(len(requests.ended(ENDPOINT, 2.0)), 1)
-        self.assertEqual(requests.ended(ENDPOINT, 2.0), [])
-        self.assertEqual(len(requests.ended(EndpointName("e2"), 2.0)), 1)
+        self.assertEqual(len(requests.pop_crashed(ENDPOINT, 2.0)), 1)
+        self.assertEqual(requests.pop_crashed(ENDPOINT, 2.0), [])
+        self.assertEqual(len(requests.pop_crashed(EndpointName("e2"), 2.0)), 1)
 
     def test_the_oldest_go_first(self):
         requests = InterruptedRequests()
--- a/walnutquay/coordination/requests/crashes.py
+++ b/walnutquay/coordination/requests/crashes.py
@@ -196,7 +196,7 @@
 
         :param endpoint: an endpoint of which another start has become known.
         """
-        traces = self.broken.ended(endpoint, monotonic())
+        traces = self.broken.pop_crashed(endpoint, monotonic())
         if traces:
             self._tell_ended(endpoint, "it has started again")
         for trace in traces:
--- a/walnutquay/state/requests/__init__.py
+++ b/walnutquay/state/requests/__init__.py
@@ -1,8 +1,8 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What holds for every request: its stages, refusals, and which endpoint may run it.
+"""Request handling rules: stages, refusals, and the endpoints that may run a request.
 
-Decided here: what "not run" may be said of, which endpoints are left out as failing,
-and which requests end the endpoints that run them; from outcomes seen here and told by
-other VMs.
+These modules decide when a request may be reported as "not run", which endpoints are
+ejected because they fail, and which requests crash the endpoints that run them.  The
+decisions use outcomes observed by this VM and outcomes reported by other VMs.
 """
--- a/walnutquay/state/requests/attribution.py
+++ b/walnutquay/state/requests/attribution.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Which requests explain why endpoints ended: as few as can explain all ends."""
+"""Attribution of endpoint crashes to the fewest requests that explain all of them."""
 
 from __future__ import annotations
 
@@ -10,100 +10,120 @@
 from walnutquay.state.process.ids import Fingerprint
 from walnutquay.state.requests.crashtypes import EndpointCrash
 
-# A request that so many endpoints have ended under is sent to no other one: with fewer,
-# one that was beside another such request by chance would be taken for one.
+# A request is blocked after being present at this many endpoint crashes.  With fewer, a
+# request that ran next to a crashing request by chance would be blocked as well.
 CRASHES_TO_BLOCK = 3
-# Of these, so many must have no other explanation: what was beside several others that
-# end endpoints has been at as many ends as they, and one more may be a chance.
-OWN_ENDS_TO_BLOCK = 2
-# Requests at fewer ends explain nothing: any of those that were there may have done it.
-ENDS_TO_EXPLAIN = 2
+# This many of the crashes must have no other explanation.  A request that ran next to
+# several crashing requests was present at as many crashes as they were, and one further
+# crash may be a coincidence.
+OWN_CRASHES_TO_BLOCK = 2
+# A request at fewer crashes explains nothing: any request that was running at a single
+# crash may have caused it.
+CRASHES_TO_EXPLAIN = 2
 
-
-# Requests with the ends at which they were.
-Chosen = dict[Fingerprint, frozenset[EndpointCrash]]
+# Requests with the crashes at which they were present.
+CrashesByRequest = dict[Fingerprint, frozenset[EndpointCrash]]
 
 
 def crashing_requests(
     crashes_by_request: Mapping[Fingerprint, list[EndpointCrash]],
 ) -> frozenset[Fingerprint]:
-    """Find the requests that are held to have ended endpoints.
+    """Find the requests to which endpoint crashes are attributed.
 
-    :param crashes_by_request: the ends at which each request was.
-    :returns: those that are to be sent to no other endpoint.
+    :param crashes_by_request: the crashes at which each request was present.
+    :returns: the requests to block, that is, not to send to another endpoint.
     """
     suspects = {
-        fingerprint: frozenset(ends)
-        for fingerprint, ends in crashes_by_request.items()
-        if len(ends) >= ENDS_TO_EXPLAIN
+        fingerprint: frozenset(crashes)
+        for fingerprint, crashes in crashes_by_request.items()
+        if len(crashes) >= CRASHES_TO_EXPLAIN
     }
-    if not any(len(ends) >= CRASHES_TO_BLOCK for ends in suspects.values()):
+    if not any(len(crashes) >= CRASHES_TO_BLOCK for crashes in suspects.values()):
         return frozenset()
-    chosen = _without_spare_ones(_cover(suspects))
+    chosen = _without_redundant(_greedy_cover(suspects))
     return frozenset(
-        name for name, ends in chosen.items() if len(ends) >= CRASHES_TO_BLOCK
+        request
+        for request, crashes in chosen.items()
+        if len(crashes) >= CRASHES_TO_BLOCK
     )
 
 
-def _cover(suspects: Mapping[Fingerprint, frozenset[EndpointCrash]]) -> Chosen:
-    """Choose requests that explain all ends, each time the one that explains most."""
-    left = dict(suspects)
-    chosen: Chosen = {}
+def _greedy_cover(
+    suspects: Mapping[Fingerprint, frozenset[EndpointCrash]],
+) -> CrashesByRequest:
+    """Choose requests that explain all crashes, always taking the best one next.
+
+    The best request is the one that explains most of the unexplained crashes.
+    """
+    remaining = dict(suspects)
+    chosen: CrashesByRequest = {}
     explained: set[EndpointCrash] = set()
-    while left:
+    while remaining:
         best = max(
-            left, key=lambda name: (len(left[name] - explained), *_odds(name, left))
+            remaining,
+            key=lambda request: (
+                len(remaining[request] - explained),
+                *_rank(request, remaining),
+            ),
         )
-        if left[best] <= explained:
+        if remaining[best] <= explained:
             break
-        chosen[best] = left.pop(best)
+        chosen[best] = remaining.pop(best)
         explained |= chosen[best]
     return chosen
 
 
-def _without_spare_ones(chosen: Chosen) -> Chosen:
-    """Leave out, the weakest first, what explains no two ends that others do not.
+def _without_redundant(chosen: CrashesByRequest) -> CrashesByRequest:
+    """Remove requests that explain fewer than two crashes on their own, weakest first.
 
-    One that was beside three others at an end of each is chosen first, and in vain; one
-    more end may have had another reason.
+    A request that ran next to three crashing requests, at one crash of each, is chosen
+    first although it caused none; one further crash may have had another cause.
     """
-    left = dict(chosen)
-    while left:
+    remaining = dict(chosen)
+    while remaining:
         weakest = min(
-            left,
-            key=lambda name: (
-                len(_own(name, left)),
-                len(left[name]),
-                *_odds(name, left),
+            remaining,
+            key=lambda request: (
+                len(_own_crashes(request, remaining)),
+                len(remaining[request]),
+                *_rank(request, remaining),
             ),
         )
-        if len(_own(weakest, left)) >= OWN_ENDS_TO_BLOCK:
+        if len(_own_crashes(weakest, remaining)) >= OWN_CRASHES_TO_BLOCK:
             break
-        del left[weakest]
-    return left
+        del remaining[weakest]
+    return remaining
 
 
-def _odds(name: Fingerprint, chosen: Chosen) -> tuple[int, float, float, str]:
-    """Rank a request among others at as many ends, higher where it is likelier guilty.
+def _rank(
+    request: Fingerprint, chosen: CrashesByRequest
+) -> tuple[int, float, float, str]:
+    """Return a sort key among requests at equally many crashes, likelier cause higher.
 
-    What ends an endpoint that begins to run it does so soon, whether its answer has
-    begun by then or not; what was beside it had been at the first for any time.
+    A crashing request crashes an endpoint soon after the endpoint starts to run it,
+    whether its answer has started by then or not; a request that ran next to it may
+    have been at the first endpoint for any length of time.
     """
-    runs = [_longest_run(name, end) for end in chosen[name]]
-    known = [seconds for seconds in runs if math.isfinite(seconds)]
-    return (len(known), -max(known, default=0.0), -sum(known), name)
+    runtimes = [_max_runtime(request, crash) for crash in chosen[request]]
+    known = [seconds for seconds in runtimes if math.isfinite(seconds)]
+    return (len(known), -max(known, default=0.0), -sum(known), request)
+
 
+def _max_runtime(request: Fingerprint, crash: EndpointCrash) -> float:
+    """Return the longest time that an endpoint may have run a request before crashing.
 
-def _longest_run(name: Fingerprint, end: EndpointCrash) -> float:
-    """Give the seconds for which an endpoint can have run a request as it ended.
+    A request whose answer had not started may have been waiting at the endpoint, or may
+    just have started to run.
 
-    One whose answer had not begun may have waited there, or just have begun to run.
+    :returns: seconds.
     """
-    ran = end.ran[name]
-    return end.at - end.sent[name] if ran is None else ran
+    ran = crash.ran[request]
+    return crash.at - crash.sent[request] if ran is None else ran
 
 
-def _own(name: Fingerprint, chosen: Chosen) -> frozenset[EndpointCrash]:
-    """Give the ends of a request that no other chosen one explains."""
-    others = (ends for other, ends in chosen.items() if other != name)
-    return chosen[name].difference(*others)
+def _own_crashes(
+    request: Fingerprint, chosen: CrashesByRequest
+) -> frozenset[EndpointCrash]:
+    """Return the crashes of a request that no other chosen request explains."""
+    others = (crashes for other, crashes in chosen.items() if other != request)
+    return chosen[request].difference(*others)
--- a/walnutquay/state/requests/crashes.py
+++ b/walnutquay/state/requests/crashes.py
@@ -1,10 +1,11 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Which requests were running where endpoints ended, and which of them ends them.
+"""Requests that were running at endpoint crashes, and the requests that cause them.
 
-A request that ends each endpoint that begins to run it is never alone there: all that
-ran beside it broke too, and was sent on with it.  So evidence is kept for each request
-that was there, and the ends are explained by as few requests as possible.
+A request that crashes every endpoint that starts to run it is never alone there: all
+requests that ran next to it were interrupted as well and retried elsewhere along with
+it.  Evidence is therefore kept for every request that was present, and the crashes are
+attributed to as few requests as possible.
 """
 
 from __future__ import annotations
@@ -17,120 +18,126 @@
 from walnutquay.state.requests.attribution import crashing_requests
 from walnutquay.state.requests.crashtypes import CrashTarget, CrashTrace, EndpointCrash
 
-# So many ends are enough where another version of the service is kept from a request.
+# This many crashes block a request for a version if another version of the service
+# blocks it already.
 CRASHES_TO_BLOCK_ELSEWHERE = 1
-# What broke at one endpoint within so long broke by the same end; it is back seconds
-# later at the soonest, and may have the same name then.
+# Connections that broke at one endpoint within this time broke in the same crash.  An
+# endpoint takes seconds at least to restart, and may then have the same name.
 SAME_CRASH_SECONDS = 1.0
-# Endpoints that end within so long of each other end by one cause: VMs notice an end
-# some 10 ms after it, and one that is sent a request begins to run it later than that.
-SAME_MOMENT_SECONDS = 0.05
-# A request that broke once and never came back is forgotten after so long.
+# Endpoints that crash within this time of each other crash from one cause: VMs notice a
+# crash about 10 ms after it, and an endpoint starts to run a request that it is sent
+# later than that.
+SIMULTANEOUS_SECONDS = 0.05
+# A request that was interrupted once and never sent again is forgotten after this time.
 FORGOTTEN_SECONDS = 600.0
-# One that is blocked comes free after a day, for an engine may have been mended without
-# a new version.
+# A blocked request is unblocked after a day, because an engine may have been fixed
+# without a new version.
 BLOCKED_SECONDS = 86_400.0
-# Bounds of memory, the oldest out first: some 150 bytes for each request at an end.
+# Memory limits, with the oldest entries evicted first: about 150 bytes for each request
+# at a crash.
 MAX_CRASHES = 500
 MAX_TRACES = 10_000
 MAX_ANSWERED = 1_000
 
 
 class CrashHistory:
-    """What is known of requests that were at endpoints as these ended."""
+    """The known endpoint crashes, with the requests that were running at them."""
 
     def __init__(self) -> None:
-        # In the order in which they became known.
+        # In the order in which this VM learned of them.
         self.crashes: list[EndpointCrash] = []
-        # The same by request.
+        # The same crashes, by request.
         self.crashes_by_request: dict[Fingerprint, list[EndpointCrash]] = {}
-        # When a request was last answered whole by a version; monotonic seconds.
+        # When a version last answered a request completely; monotonic seconds.
         self.answered: dict[tuple[Fingerprint, CrashTarget], float] = {}
-        # The requests that each version is kept from, as last judged; and the versions
-        # of which something was taken in since.
-        self.judged: dict[CrashTarget, frozenset[Fingerprint]] = {}
-        self.unjudged: set[CrashTarget] = set()
+        # The requests blocked for each version, as last evaluated, and the versions
+        # that have new evidence since then.
+        self.last_blocked: dict[CrashTarget, frozenset[Fingerprint]] = {}
+        self.stale_targets: set[CrashTarget] = set()
 
     @property
     def blocked(self) -> dict[CrashTarget, frozenset[Fingerprint]]:
-        """The requests that each version is kept from."""
-        for target in self.unjudged:
-            found = crashing_requests(self._ends_by_request(target))
+        """The requests that are blocked for each version."""
+        for target in self.stale_targets:
+            found = crashing_requests(self._suspects(target))
             if found:
-                self.judged[target] = found
+                self.last_blocked[target] = found
             else:
-                self.judged.pop(target, None)
-        self.unjudged.clear()
-        return self.judged
-
-    def _ends_by_request(
-        self, target: CrashTarget
-    ) -> dict[Fingerprint, list[EndpointCrash]]:
-        """Give the requests at several ends of a version's endpoints."""
+                self.last_blocked.pop(target, None)
+        self.stale_targets.clear()
+        return self.last_blocked
+
+    def _suspects(self, target: CrashTarget) -> dict[Fingerprint, list[EndpointCrash]]:
+        """Return the requests at several crashes, with the crashes to attribute.
+
+        :param target: the version whose crashes are considered.
+        """
         return {
-            fingerprint: self._own_ends(fingerprint, target)
+            fingerprint: self._attributable_crashes(fingerprint, target)
             for fingerprint, known in self.crashes_by_request.items()
             if len(known) > 1
         }
 
-    def _own_ends(
+    def _attributable_crashes(
         self, fingerprint: Fingerprint, target: CrashTarget
     ) -> list[EndpointCrash]:
-        """Give the ends that a request may have brought about by itself.
+        """Return the crashes that a request may have caused by itself.
 
-        Where another endpoint ended at the same moment without it, both had another
-        cause: a request that was sent on from one of several endpoints that are lost
-        together to the next of them is at three such ends within 10 ms.  But the other
-        may have been ended by a request that comes again and again, too.
+        If another endpoint crashed at the same moment without having the request, both
+        crashes had another cause: when several endpoints are lost together, a request
+        that is retried from one of them to the next is present at three such crashes
+        within 10 ms.  The exception is another endpoint that may itself have been
+        crashed by a recurring request.
 
         :param fingerprint: the request.
         :param target: the version.
         """
         others = [
-            end.at
-            for end in self.crashes
-            if end.target == target
-            and fingerprint not in end.ran
-            and not any(self._recurs(other) for other in end.ran)
+            crash.at
+            for crash in self.crashes
+            if crash.target == target
+            and fingerprint not in crash.ran
+            and not any(self._is_recurrent(other) for other in crash.ran)
         ]
         return [
-            end
-            for end in self._ends_at(fingerprint, target)
-            if not any(abs(at - end.at) < SAME_MOMENT_SECONDS for at in others)
+            crash
+            for crash in self._crashes_of(fingerprint, target)
+            if not any(abs(at - crash.at) < SIMULTANEOUS_SECONDS for at in others)
         ]
 
-    def _recurs(self, fingerprint: Fingerprint) -> bool:
-        """Whether endpoints have ended under a request at different moments."""
-        times = [end.at for end in self.crashes_by_request[fingerprint]]
-        return max(times) - min(times) >= SAME_MOMENT_SECONDS
+    def _is_recurrent(self, fingerprint: Fingerprint) -> bool:
+        """Return whether endpoints crashed at different moments during a request."""
+        times = [crash.at for crash in self.crashes_by_request[fingerprint]]
+        return max(times) - min(times) >= SIMULTANEOUS_SECONDS
 
     def is_suspect(self, fingerprint: Fingerprint) -> bool:
-        """:param fingerprint: a request.
+        """Check whether an endpoint crashed during a request not answered since then.
 
-        :returns: whether an endpoint has ended under it, and it was not answered since.
+        :param fingerprint: the request.
         """
         return fingerprint in self.crashes_by_request
 
     def is_blocked(self, fingerprint: Fingerprint, target: CrashTarget) -> bool:
-        """:param fingerprint: a request.
+        """Check whether a request must not be sent to endpoints of a version.
 
-        :param target: what would run it.
-        :returns: whether it must not be sent there.
+        :param fingerprint: the request.
+        :param target: the version that would run it.
         """
         if fingerprint in self.blocked.get(target, ()):
             return True
         if not self.is_blocked_elsewhere(fingerprint, target):
             return False
-        return len(self._ends_at(fingerprint, target)) >= CRASHES_TO_BLOCK_ELSEWHERE
+        return len(self._crashes_of(fingerprint, target)) >= CRASHES_TO_BLOCK_ELSEWHERE
 
     def is_blocked_elsewhere(
         self, fingerprint: Fingerprint, target: CrashTarget
     ) -> bool:
-        """:param fingerprint: a request.
+        """Check whether another version of the service blocks a request.
 
-        :param target: a version.
-        :returns: whether another version of the same service is kept from it, and this
-            one has not answered it yet.
+        :param fingerprint: the request.
+        :param target: the version that would run it.
+        :returns: whether the request is blocked for another version of the same service
+            and this version has not answered it yet.
         """
         if (fingerprint, target) in self.answered:
             return False
@@ -144,134 +151,147 @@
     def evidence(
         self, fingerprint: Fingerprint, service: ServiceName
     ) -> list[EndpointCrash]:
-        """:param fingerprint: a request.
+        """Return the crashes of a service's endpoints at which a request was present.
 
-        :param service: a service.
-        :returns: the ends of its endpoints at which the request was, in order.
+        :param fingerprint: the request.
+        :param service: the service.
+        :returns: the crashes, in the order in which this VM learned of them.
         """
         known = self.crashes_by_request.get(fingerprint, ())
         return [
-            end
-            for end in known
-            if end.target.service == service and end.had(fingerprint)
+            crash
+            for crash in known
+            if crash.target.service == service
+            and crash.received_before_crash(fingerprint)
         ]
 
-    def _ends_at(
+    def _crashes_of(
         self, fingerprint: Fingerprint, target: CrashTarget
     ) -> list[EndpointCrash]:
         known = self.evidence(fingerprint, target.service)
-        return [end for end in known if end.target == target]
+        return [crash for crash in known if crash.target == target]
 
-    # Taking in.
+    # Recording traces.
 
     def record(self, trace: CrashTrace, now: float) -> bool:
-        """Take in a trace, seen here or told by another VM.
+        """Record a trace that was observed here or received from another VM.
 
         :param trace: the trace.
         :param now: monotonic seconds.
-        :returns: whether it was not known.
+        :returns: whether the trace is new.
         """
         at = now - max(0.0, trace.age)
         if trace.answered:
-            return self._take_answer(trace, at)
+            return self._record_answer(trace, at)
         key = (trace.fingerprint, trace.target)
         if trace.age > BLOCKED_SECONDS or at <= self.answered.get(key, float("-inf")):
             return False
-        end = self._end_of(trace, at)
-        if at < end.at:
-            # What seemed to be there may have been sent later than that.
-            end.at = at
-            self.unjudged.add(trace.target)
+        crash = self._find_or_add_crash(trace, at)
+        if at < crash.at:
+            # Requests that seemed present may have been sent after this earlier time.
+            crash.at = at
+            self.stale_targets.add(trace.target)
         sent = at - trace.held
-        if trace.fingerprint in end.ran:
-            self._correct(end, trace, sent)
+        if trace.fingerprint in crash.ran:
+            self._correct_sent_time(crash, trace, sent)
             return False
-        end.ran[trace.fingerprint] = trace.ran
-        end.sent[trace.fingerprint] = sent
-        self.crashes_by_request.setdefault(trace.fingerprint, []).append(end)
-        self._bound()
+        crash.ran[trace.fingerprint] = trace.ran
+        crash.sent[trace.fingerprint] = sent
+        self.crashes_by_request.setdefault(trace.fingerprint, []).append(crash)
+        self._enforce_limits()
         if len(self.crashes_by_request.get(trace.fingerprint, ())) > 1:
-            self.unjudged.add(trace.target)
+            self.stale_targets.add(trace.target)
         return True
 
-    def _correct(self, end: EndpointCrash, trace: CrashTrace, sent: float) -> None:
-        """Take the earlier of two times at which a request was sent to an endpoint.
+    def _correct_sent_time(
+        self, crash: EndpointCrash, trace: CrashTrace, sent: float
+    ) -> None:
+        """Keep the earlier of two times at which a request was sent to an endpoint.
 
-        News that took long to come make both the end and the sending seem later.
+        A delayed trace makes both the crash and the time of sending seem later.
         """
-        if sent < end.sent[trace.fingerprint]:
-            end.sent[trace.fingerprint] = sent
-            self.unjudged.add(trace.target)
-
-    def _end_of(self, trace: CrashTrace, at: float) -> EndpointCrash:
-        for end in reversed(self.crashes):
-            same = end.endpoint == trace.endpoint and end.target == trace.target
-            if same and abs(end.at - at) < SAME_CRASH_SECONDS:
-                return end
-        end = EndpointCrash(trace.endpoint, trace.target, at)
-        self.crashes.append(end)
-        return end
-
-    def _take_answer(self, trace: CrashTrace, at: float) -> bool:
+        if sent < crash.sent[trace.fingerprint]:
+            crash.sent[trace.fingerprint] = sent
+            self.stale_targets.add(trace.target)
+
+    def _find_or_add_crash(self, trace: CrashTrace, at: float) -> EndpointCrash:
+        for crash in reversed(self.crashes):
+            same = crash.endpoint == trace.endpoint and crash.target == trace.target
+            if same and abs(crash.at - at) < SAME_CRASH_SECONDS:
+                return crash
+        crash = EndpointCrash(trace.endpoint, trace.target, at)
+        self.crashes.append(crash)
+        return crash
+
+    def _record_answer(self, trace: CrashTrace, at: float) -> bool:
         key = (trace.fingerprint, trace.target)
         if trace.age > FORGOTTEN_SECONDS:
             return False
         if at <= self.answered.get(key, float("-inf")):
             return False
-        fresh = key not in self.answered
+        is_new = key not in self.answered
         self.answered[key] = at
         while len(self.answered) > MAX_ANSWERED:
             del self.answered[next(iter(self.answered))]
         known = self.crashes_by_request.get(trace.fingerprint, ())
         before = [e for e in known if e.target == trace.target and e.at <= at]
-        for end in before:
-            self._forget(trace.fingerprint, end)
+        for crash in before:
+            self._forget(trace.fingerprint, crash)
         if before:
-            self.unjudged.add(trace.target)
-        return fresh or bool(before)
-
-    def _forget(self, fingerprint: Fingerprint, end: EndpointCrash) -> None:
-        del end.ran[fingerprint]
-        del end.sent[fingerprint]
-        left = [
-            other for other in self.crashes_by_request[fingerprint] if other is not end
+            self.stale_targets.add(trace.target)
+        return is_new or bool(before)
+
+    def _forget(self, fingerprint: Fingerprint, crash: EndpointCrash) -> None:
+        del crash.ran[fingerprint]
+        del crash.sent[fingerprint]
+        remaining = [
+            other
+            for other in self.crashes_by_request[fingerprint]
+            if other is not crash
         ]
-        if left:
-            self.crashes_by_request[fingerprint] = left
+        if remaining:
+            self.crashes_by_request[fingerprint] = remaining
         else:
             del self.crashes_by_request[fingerprint]
 
-    def _bound(self) -> None:
-        """Keep to the bounds of memory.
+    def _enforce_limits(self) -> None:
+        """Evict the oldest crashes when a memory limit is exceeded.
 
-        The oldest go first: what was beside blocked requests, and then these too, for
-        new ones must be found as well.
+        Requests that are not blocked are evicted first, then blocked ones as well,
+        because there must be room to find new crashing requests.
         """
-        traces = sum(len(end.ran) for end in self.crashes)
+        traces = sum(len(crash.ran) for crash in self.crashes)
         if len(self.crashes) <= MAX_CRASHES and traces <= MAX_TRACES:
             return
         older = self.crashes[: len(self.crashes) // 2]
-        for ends, spared in ((older, dict(self.blocked)), (list(self.crashes), {})):
-            for end in ends:
+        for crashes, protected in (
+            (older, dict(self.blocked)),
+            (list(self.crashes), {}),
+        ):
+            for crash in crashes:
                 if len(self.crashes) <= MAX_CRASHES and traces <= MAX_TRACES:
                     return
-                traces -= self._drop(end, spared.get(end.target, frozenset()))
+                traces -= self._forget_requests(
+                    crash, protected.get(crash.target, frozenset())
+                )
 
-    def _drop(self, end: EndpointCrash, spared: frozenset[Fingerprint]) -> int:
-        """Forget the requests of an end, but for some.
+    def _forget_requests(
+        self, crash: EndpointCrash, protected: frozenset[Fingerprint]
+    ) -> int:
+        """Forget the requests of a crash, except for the protected ones.
 
-        :returns: how many were forgotten.
+        :returns: the number of requests forgotten.
         """
-        dropped = set(end.ran) - spared
+        dropped = set(crash.ran) - protected
         for fingerprint in dropped:
-            self._forget(fingerprint, end)
-        if not end.ran:
-            self.crashes.remove(end)
-        self.unjudged.add(end.target)
+            self._forget(fingerprint, crash)
+        if not crash.ran:
+            self.crashes.remove(crash)
+        self.stale_targets.add(crash.target)
         return len(dropped)
 
     def expire(self, now: float) -> None:
-        """Forget what is too old.
+        """Forget crashes and answers that are too old.
 
         :param now: monotonic seconds.
         """
@@ -279,32 +299,32 @@
             if now - at > FORGOTTEN_SECONDS:
                 del self.answered[key]
         known = dict(self.blocked)
-        for end in list(self.crashes):
-            blocked = known.get(end.target, frozenset())
-            for fingerprint in list(end.ran):
+        for crash in list(self.crashes):
+            blocked = known.get(crash.target, frozenset())
+            for fingerprint in list(crash.ran):
                 kept = BLOCKED_SECONDS if fingerprint in blocked else FORGOTTEN_SECONDS
-                if now - end.at > kept:
-                    self._forget(fingerprint, end)
-                    self.unjudged.add(end.target)
-            if not end.ran:
-                self.crashes.remove(end)
+                if now - crash.at > kept:
+                    self._forget(fingerprint, crash)
+                    self.stale_targets.add(crash.target)
+            if not crash.ran:
+                self.crashes.remove(crash)
 
-    # Telling.
+    # Export to other VMs and to the store.
 
     def traces(self, now: float) -> Iterator[CrashTrace]:
-        """Yield all that is known, for another VM.
+        """Yield all known traces, to be sent to another VM.
 
         :param now: monotonic seconds.
         """
-        for end in self.crashes:
-            for fingerprint, ran in end.ran.items():
+        for crash in self.crashes:
+            for fingerprint, ran in crash.ran.items():
                 yield CrashTrace(
                     fingerprint,
-                    end.target,
-                    end.endpoint,
-                    now - end.at,
+                    crash.target,
+                    crash.endpoint,
+                    now - crash.at,
                     ran,
-                    held=end.at - end.sent[fingerprint],
+                    held=crash.at - crash.sent[fingerprint],
                 )
         for (fingerprint, target), at in self.answered.items():
             yield CrashTrace(
@@ -312,17 +332,17 @@
             )
 
     def digest(self) -> int:
-        """:returns: what stands for all that is known; the same at VMs that know it."""
+        """Hash the known traces; VMs with the same traces get the same digest."""
         rows = [
-            f"{fingerprint} {end.endpoint} {end.target}"
-            for end in self.crashes
-            for fingerprint in end.ran
+            f"{fingerprint} {crash.endpoint} {crash.target}"
+            for crash in self.crashes
+            for fingerprint in crash.ran
         ]
         rows += [f"{fingerprint} {target}" for fingerprint, target in self.answered]
         return xxhash.xxh3_64_intdigest("\n".join(sorted(rows)).encode())
 
     def blocked_traces(self, now: float) -> Iterator[CrashTrace]:
-        """Yield what is known of blocked requests, to be kept for good.
+        """Yield the traces of blocked requests, to be stored permanently.
 
         :param now: monotonic seconds.
         """
--- a/walnutquay/state/requests/crashtypes.py
+++ b/walnutquay/state/requests/crashtypes.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The ends of endpoints, and the requests that were there."""
+"""Endpoint crashes and the requests that were running at them."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class CrashTarget:
-    """What a request is found to end: a version of a service's software.
+    """The software that a request is found to crash: a version of a service.
 
     :param service: the service, or the version of a model.
-    :param version: the version; empty where the service has none.
+    :param version: the version; empty if the service has none.
     """
 
     service: ServiceName
@@ -29,15 +29,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashTrace:
-    """That a request was at an endpoint which ended, or was answered whole.
+    """A record that an endpoint crashed during a request, or answered it completely.
 
     :param fingerprint: the request.
-    :param target: what the endpoint ran.
+    :param target: the software that the endpoint ran.
     :param endpoint: the endpoint.
-    :param age: seconds since.
-    :param ran: seconds for which its answer had begun; None where none had.
-    :param answered: whether it was answered, and the endpoint lived on.
-    :param held: seconds for which the endpoint had it; infinite where that is not told.
+    :param age: seconds since the crash or the answer.
+    :param ran: seconds between the start of the answer and the crash; None if no answer
+        had started.
+    :param answered: whether the request was answered and the endpoint kept running.
+    :param held: seconds between sending the request to the endpoint and the crash;
+        infinite if not reported.
     """
 
     fingerprint: Fingerprint
@@ -51,14 +53,15 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointCrash:
-    """The end of an endpoint.
-
-    :param endpoint: its name.
-    :param target: what it ran.
-    :param at: when any VM noticed it first; monotonic seconds.
-    :param ran: the requests that broke there, with the seconds for which their answers
-        had begun; None where none had.
-    :param sent: when each of them was sent there; monotonic seconds.
+    """A crash of an endpoint.
+
+    :param endpoint: the endpoint's name.
+    :param target: the software that it ran.
+    :param at: the time at which the first VM noticed the crash; monotonic seconds.
+    :param ran: the interrupted requests, each with the seconds between the start of its
+        answer and the crash; None if no answer had started.
+    :param sent: the time at which each of them was sent to the endpoint; monotonic
+        seconds.
     """
 
     endpoint: EndpointName
@@ -67,10 +70,11 @@
     ran: dict[Fingerprint, float | None] = field(default_factory=dict)
     sent: dict[Fingerprint, float] = field(default_factory=dict)
 
-    def had(self, fingerprint: Fingerprint) -> bool:
-        """:param fingerprint: a request that broke there.
+    def received_before_crash(self, fingerprint: Fingerprint) -> bool:
+        """Check whether a request was sent before the crash was noticed.
 
-        :returns: whether it was sent there before the end was noticed: else it broke
-            for there was nobody any more.
+        A request that was sent later failed only because the endpoint was already gone.
+
+        :param fingerprint: a request that was interrupted at the endpoint.
         """
         return self.sent.get(fingerprint, -math.inf) < self.at
--- a/walnutquay/state/requests/interrupted.py
+++ b/walnutquay/state/requests/interrupted.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Requests that broke at endpoints of which it is not known whether they have ended."""
+"""Requests whose connection broke at endpoints that may or may not have crashed."""
 
 from __future__ import annotations
 
@@ -10,12 +10,13 @@
 from walnutquay.state.process.ids import EndpointName
 from walnutquay.state.requests.crashtypes import CrashTrace
 
-# An endpoint that has ended is back, and listed, within so long; what broke before that
-# had another reason.
+# A crashed endpoint is restarted and listed again within this time; connections that
+# broke earlier than that had another cause.
 KEPT_SECONDS = 10.0
-# What broke within so long before an end was noticed broke by it.
-TOGETHER_SECONDS = 1.0
-# Some 150 bytes each; the oldest go first.
+# Connections that broke within this time before the last one are attributed to the same
+# crash.
+SAME_CRASH_SECONDS = 1.0
+# About 150 bytes each; the oldest entries are evicted first.
 MAX_KEPT = 1_000
 
 
@@ -23,8 +24,8 @@
 class InterruptedRequest:
     """A request whose connection to an endpoint broke.
 
-    :param at: when; monotonic seconds.
-    :param trace: the request, as it will be told of if the endpoint has ended.
+    :param at: the time at which the connection broke; monotonic seconds.
+    :param trace: the trace to report if the endpoint turns out to have crashed.
     """
 
     at: float
@@ -32,33 +33,40 @@
 
 
 class InterruptedRequests:
-    """Keeps what broke until the endpoint's next start tells that it has ended."""
+    """Interrupted requests, kept until a restart shows that the endpoint crashed."""
 
     def __init__(self) -> None:
         self.kept: deque[InterruptedRequest] = deque(maxlen=MAX_KEPT)
 
-    def note(self, broken: InterruptedRequest) -> None:
-        """:param broken: a request that broke now, for a reason that is not known."""
-        self.kept.append(broken)
+    def note(self, interrupted: InterruptedRequest) -> None:
+        """Record an interrupted request.
 
-    def ended(self, endpoint: EndpointName, now: float) -> list[CrashTrace]:
-        """Give what broke by an endpoint's end: what broke last, and with it.
+        :param interrupted: a request whose connection just broke for an unknown reason.
+        """
+        self.kept.append(interrupted)
+
+    def pop_crashed(self, endpoint: EndpointName, now: float) -> list[CrashTrace]:
+        """Remove an endpoint's requests and return those attributed to its crash.
+
+        These are the request that was interrupted last and those interrupted shortly
+        before it.
 
-        :param endpoint: an endpoint of which another start is known now.
+        :param endpoint: an endpoint that is now known to have restarted.
         :param now: monotonic seconds.
+        :returns: the traces of these requests, with their current age.
         """
-        lately = [
-            one
-            for one in self.kept
-            if one.trace.endpoint == endpoint and now - one.at <= KEPT_SECONDS
+        recent = [
+            request
+            for request in self.kept
+            if request.trace.endpoint == endpoint and now - request.at <= KEPT_SECONDS
         ]
-        if not lately:
+        if not recent:
             return []
-        last = max(one.at for one in lately)
-        kept = [one for one in self.kept if one.trace.endpoint != endpoint]
+        last = max(request.at for request in recent)
+        kept = [request for request in self.kept if request.trace.endpoint != endpoint]
         self.kept = deque(kept, maxlen=MAX_KEPT)
         return [
-            replace(one.trace, age=now - one.at)
-            for one in lately
-            if last - one.at <= TOGETHER_SECONDS
+            replace(request.trace, age=now - request.at)
+            for request in recent
+            if last - request.at <= SAME_CRASH_SECONDS
         ]
