--- a/lab/mutants/own.py
+++ b/lab/mutants/own.py
@@ -133,7 +133,7 @@
     Mutation(
         "a leaving endpoint: the first word wins",
         "state/requests/endpoints.py",
-        "if facts.incarnation and incarnation > facts.incarnation:",
+        "if state.incarnation and incarnation > state.incarnation:",
         "if True:",
         "tests.processes.test_whole_answers.LeavingTest",
     ),
--- a/walnutquay/coordination/routed/places.py
+++ b/walnutquay/coordination/routed/places.py
@@ -142,7 +142,7 @@
                 )
             )
         now = monotonic()
-        left = self.reach.filter_by_region(left)
+        left = self.reach.within(left)
         if need.suspect:
             chosen = self._apart(left, need, now)
         elif need.work is not None:
@@ -243,7 +243,7 @@
         """
         now = monotonic()
         allowed = filter_by_region(self.candidates(service), regions, self.region_of)
-        left = self.reach.filter_by_region(self.cold.open(allowed, now))
+        left = self.reach.within(self.cold.open(allowed, now))
         open_ones = self.table.accepting(left, now, frozenset()) or left
         return self._engines(open_ones, service, now) if open_ones else None
 
--- a/walnutquay/state/requests/durations.py
+++ b/walnutquay/state/requests/durations.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""How long each class of request usually takes, to tell what is slow."""
+"""Baseline durations of each class of request, used to detect slow answers."""
 
 from __future__ import annotations
 
@@ -8,55 +8,60 @@
 
 from walnutquay.state.process.counts import LatestTable
 
-# An answer is slow that takes this many times as long as usual.
+# An answer is slow if it takes more than this many times the baseline duration.
 SLOW_FACTOR = 2.0
-# What is usual is known after so many answers, and follows with this weight.
+# A baseline is available after this many answers; each new answer has this weight.
 MIN_SAMPLES = 5
 WEIGHT = 0.1
-# Classes are named by callers, so their number is bounded.
+# Callers name the classes, so their number is bounded.
 MAX_CLASSES = 1000
 
 
 @dataclass(slots=True)
-class _Pace:
-    """The running mean of one class."""
+class _MeanDuration:
+    """The running mean duration of one class."""
 
     seconds: float = 0.0
     seen: int = 0
 
 
 class DurationTable:
-    """The usual time of each class, learnt from a version that is trusted."""
+    """The baseline duration of each class, measured on a trusted version."""
 
     def __init__(self) -> None:
-        self.means: LatestTable[str, _Pace] = LatestTable(MAX_CLASSES, _Pace)
+        self.means: LatestTable[str, _MeanDuration] = LatestTable(
+            MAX_CLASSES, _MeanDuration
+        )
 
     def learn(self, request_class: str, seconds: float) -> None:
-        """:param request_class: the caller's class of request.
+        """Update the baseline of a class with one answer.
 
-        :param seconds: how long the trusted version took.
+        :param request_class: the caller's class of request.
+        :param seconds: the duration of the trusted version's answer.
         """
-        pace = self.means.touch(request_class)
-        pace.seen += 1
-        weight = max(WEIGHT, 1 / pace.seen)
-        pace.seconds += weight * (seconds - pace.seconds)
+        mean = self.means.touch(request_class)
+        mean.seen += 1
+        weight = max(WEIGHT, 1 / mean.seen)
+        mean.seconds += weight * (seconds - mean.seconds)
 
     def ratio(self, request_class: str, seconds: float) -> float | None:
-        """:param request_class: the caller's class of request.
+        """Return the duration of an answer as a multiple of the baseline.
 
-        :param seconds: how long an answer took.
-        :returns: how many times as long as usual; None where that is not known.
+        :param request_class: the caller's class of request.
+        :param seconds: the duration of the answer.
+        :returns: the ratio, or None if there is no baseline yet.
         """
-        pace = self.means.get(request_class)
-        if pace is None or pace.seen < MIN_SAMPLES or not pace.seconds:
+        mean = self.means.get(request_class)
+        if mean is None or mean.seen < MIN_SAMPLES or not mean.seconds:
             return None
-        return seconds / pace.seconds
+        return seconds / mean.seconds
 
     def is_slow(self, request_class: str, seconds: float) -> bool | None:
-        """:param request_class: the caller's class of request.
+        """Check whether an answer was slow.
 
-        :param seconds: how long an answer took.
-        :returns: whether that is slow; None where it is not known what is usual.
+        :param request_class: the caller's class of request.
+        :param seconds: the duration of the answer.
+        :returns: whether the answer was slow, or None if there is no baseline yet.
         """
         ratio = self.ratio(request_class, seconds)
         return None if ratio is None else ratio > SLOW_FACTOR
--- a/walnutquay/state/requests/endpoints.py
+++ b/walnutquay/state/requests/endpoints.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What a VM knows of endpoints, and the choice among them."""
+"""The state of endpoints as one VM sees them, and the choice of an endpoint."""
 
 from __future__ import annotations
 
@@ -16,52 +16,53 @@
 from walnutquay.state.requests.durations import SLOW_FACTOR, DurationTable
 from walnutquay.state.store.parts import Endpoint
 
-# After this many failures in a row an endpoint is left out for a while.
+# An endpoint is ejected for a while after this many consecutive failures.
 FAILURES_TO_EJECT = 3
 EJECT_SECONDS = 2.0
 EJECT_MAX_SECONDS = 60.0
-# However many endpoints fail, this share of them stays in use.
-FLOOR_SHARE = 0.5
-# A report older than this says nothing about the load of now.
+# This share of the endpoints stays in use, however many of them fail.
+MIN_USABLE_SHARE = 0.5
+# A report older than this is no evidence of the current load.
 REPORT_SECONDS = 5.0
-# An endpoint that says it is full gets nothing from this VM for this long.
+# This VM sends nothing for this long to an endpoint that reports that it is full.
 FULL_SECONDS = 0.1
-# Kinds of work begin with the version or service, up to this.
+# A kind of work starts with the version or service, followed by this separator.
 KIND_SEPARATOR = "/"
-# Endpoints of one version or service that one VM uses.
+# The number of endpoints of one version or service that one VM uses.
 SUBSET = 32
-# A prompt's favourite endpoint is passed over if it is busier than this many times
-# the mean, but not while less of its slots are taken than this share.
+# A prompt's preferred endpoint is skipped if its load is at least this many times the
+# mean, but not while the share of its slots in use is below the minimum.
 LOAD_BOUND = 1.25
 MIN_SHARE_BUSY = 0.25
-# So many endpoints in a prompt's rank are tried before it goes to any.
-MAX_FAVOURITES = 3
-# The weight of each new answer in what is thought of an endpoint's speed.
+# This many endpoints of a prompt's ranking are tried before falling back to any other.
+MAX_PREFERRED = 3
+# The weight of each new answer in the estimate of an endpoint's speed.
 SPEED_WEIGHT = 0.15
-# What a failed request counts as: an answer that took so many times as long as usual.
+# A failed request counts as an answer that took this many times the baseline duration.
 FAILED_RATIO = 6.0
-# An endpoint that gets little work is thought as fast as the others again in time.
-SPEED_FORGOTTEN_SECONDS = 20.0
-# What an endpoint in another data hall counts as: so many requests more.
+# Time constant of the decay to normal of the speed estimate of a little used endpoint.
+SPEED_DECAY_SECONDS = 20.0
+# An endpoint in another data hall is treated as if it had this many more requests.
 OTHER_HALL_PENALTY = 4
 
 
 @dataclass(slots=True)
 class EndpointState:
-    """What one VM knows of one endpoint.
-
-    :param in_flight: requests of this VM that are running there.
-    :param reported: running and waiting requests by its last report.
-    :param reported_at: when that report came; monotonic seconds.
-    :param failures: failures in a row.
-    :param ejected_at: when it was last left out.
-    :param ejected_until: left out until then; monotonic seconds.
-    :param full_until: it said that it had no room; monotonic seconds.
-    :param ejections: how often in a row it has been left out.
-    :param slowness: how many times as long as usual its answers take.
-    :param slowness_at: when that was last learnt; monotonic seconds.
+    """The state of one endpoint as one VM sees it.
+
+    :param in_flight: requests of this VM that are running at the endpoint.
+    :param reported: running and waiting requests according to its last report.
+    :param reported_at: the time of that report; monotonic seconds.
+    :param failures: the number of consecutive failures.
+    :param ejected_at: the time of its last ejection; monotonic seconds.
+    :param ejected_until: the end of its last ejection; monotonic seconds.
+    :param full_until: the time until which it is treated as full; monotonic seconds.
+    :param ejections: the number of consecutive ejections.
+    :param slowness: the duration of its answers as a multiple of the baseline.
+    :param slowness_at: the time of the last update of ``slowness``; monotonic seconds.
     :param incarnation: the incarnation that it last reported.
-    :param leaving: who said that it is leaving, and which incarnation it was.
+    :param leaving: the sources that announced that it is leaving, each with the
+        incarnation that it named.
     """
 
     in_flight: int = 0
@@ -78,27 +79,28 @@
     leaving: dict[LeavingSource, str] = field(default_factory=dict)
 
     def has_free_slot(self, slots: int, now: float) -> bool:
-        """:param slots: requests that it runs at once.
+        """Check whether this VM may send the endpoint one more request.
 
+        :param slots: the number of requests that it runs concurrently.
         :param now: monotonic seconds.
-        :returns: whether this VM may send it one more.
         """
         return self.in_flight < slots and self.full_until <= now
 
     def slow_by(self, now: float) -> float:
-        """:param now: monotonic seconds.
+        """Estimate the duration of its answers as a multiple of the baseline.
 
-        :returns: how many times as long as usual its answers are thought to take.
+        :param now: monotonic seconds.
         """
         if self.slowness_at == float("-inf"):
             return 1.0
         age = max(0.0, now - self.slowness_at)
-        left = math.exp(-age / SPEED_FORGOTTEN_SECONDS)
-        return 1.0 + (self.slowness - 1.0) * left
+        decay = math.exp(-age / SPEED_DECAY_SECONDS)
+        return 1.0 + (self.slowness - 1.0) * decay
 
     def learn_speed(self, ratio: float, now: float) -> None:
-        """:param ratio: how many times as long as usual an answer took.
+        """Update the speed estimate with one answer.
 
+        :param ratio: the answer's duration as a multiple of the baseline.
         :param now: monotonic seconds.
         """
         slowness = self.slow_by(now)
@@ -106,10 +108,10 @@
         self.slowness_at = now
 
     def load(self, now: float) -> int:
-        """Estimate its load.
+        """Estimate the endpoint's load.
 
         :param now: monotonic seconds.
-        :returns: requests that run or wait there.
+        :returns: the number of requests running or waiting at the endpoint.
         """
         if now - self.reported_at > REPORT_SECONDS:
             return self.in_flight
@@ -117,16 +119,16 @@
 
 
 def subset(endpoints: list[Endpoint], vm: str, hall: str) -> list[Endpoint]:
-    """Choose the endpoints that one VM uses of many.
+    """Choose the subset of many endpoints that one VM uses.
 
-    Reports, connections and the work of a choice stay bounded by it, however
-    many endpoints there are; different VMs choose differently.  Endpoints of
-    the VM's own data hall go first.
+    The subset bounds the reports, the connections and the cost of choosing an
+    endpoint, however many endpoints there are; different VMs choose different
+    subsets.  Endpoints in the VM's own data hall come first.
 
-    :param endpoints: those that run one version or service.
+    :param endpoints: the endpoints that run one version or service.
     :param vm: the VM's name.
-    :param hall: its data hall.
-    :returns: all of them where they are few.
+    :param hall: the VM's data hall.
+    :returns: the subset; all endpoints if there are few.
     """
     if len(endpoints) <= SUBSET:
         return endpoints
@@ -139,131 +141,131 @@
 
 
 class EndpointTable:
-    """The endpoints as one VM sees them; it chooses and learns.
+    """The endpoints as one VM sees them, with the choice among them.
 
-    :param hall: the data hall that this VM stands in.
-    :param rng: the source of chance.
+    :param hall: the data hall of this VM.
+    :param rng: the random number generator.
     """
 
     def __init__(self, hall: str, rng: random.Random) -> None:
         self.hall = hall
         self.rng = rng
         self.states: defaultdict[str, EndpointState] = defaultdict(EndpointState)
-        # How long each kind of work usually takes, over all endpoints.
-        self.pace = DurationTable()
-        # When any endpoint last answered for each version or service.
+        # The baseline duration of each kind of work, over all endpoints.
+        self.durations = DurationTable()
+        # The last time at which any endpoint of each version or service answered.
         self.answered_at: dict[str, float] = {}
 
     def state_of(self, name: str) -> EndpointState:
-        """:param name: an endpoint's name."""
+        """Return the state of the endpoint with a name, created if needed."""
         return self.states[name]
 
     def forget(self, name: str) -> None:
-        """:param name: an endpoint that has ended."""
+        """Discard the state of the endpoint with a name, which is gone."""
         self.states.pop(name, None)
 
     def forget_except(self, names: Iterable[str]) -> None:
-        """:param names: the endpoints that are configured now."""
+        """Discard the state of endpoints that are neither configured nor in use.
+
+        :param names: the endpoints that are configured now.
+        """
         kept = set(names)
         for name in [name for name in self.states if name not in kept]:
             if not self.states[name].in_flight:
                 del self.states[name]
 
     def is_leaving(self, endpoint: Endpoint) -> bool:
-        """:param endpoint: a configured endpoint.
-
-        :returns: whether anybody has said that it is leaving.
-        """
+        """Return whether a source announced that a configured endpoint is leaving."""
         return endpoint.leaving or bool(self.state_of(endpoint.name).leaving)
 
     def mark_leaving(
         self, name: EndpointName, source: LeavingSource, incarnation: str = ""
     ) -> bool:
-        """Note that an endpoint is leaving; the first word wins.
+        """Mark an endpoint as leaving; the first announcement of a source is kept.
 
         :param name: the endpoint.
-        :param source: who says so.
-        :param incarnation: the endpoint's incarnation that is leaving; empty
-            where the source does not know it.
-        :returns: whether this was news.
+        :param source: the source of the announcement.
+        :param incarnation: the endpoint's incarnation that is leaving; empty if the
+            source does not know it.
+        :returns: whether the endpoint was not yet marked as leaving.
         """
-        facts = self.state_of(name)
-        if incarnation and incarnation < facts.incarnation:
+        state = self.state_of(name)
+        if incarnation and incarnation < state.incarnation:
             return False
-        news = not facts.leaving
-        facts.leaving.setdefault(source, incarnation or facts.incarnation)
-        return news
+        is_new = not state.leaving
+        state.leaving.setdefault(source, incarnation or state.incarnation)
+        return is_new
 
     def report(
         self, name: EndpointName, load: int, incarnation: str, now: float
     ) -> None:
-        """Take in an endpoint's own report.
+        """Apply an endpoint's own report.
 
-        Only a newer incarnation takes back that an endpoint is leaving: a
-        report may be older than the news.
+        Only a newer incarnation clears the mark that an endpoint is leaving, because a
+        report may be older than the announcement.
 
         :param name: the endpoint.
-        :param load: requests that run or wait there.
+        :param load: the number of requests running or waiting at the endpoint.
         :param incarnation: the endpoint's incarnation.
         :param now: monotonic seconds.
         """
-        facts = self.state_of(name)
-        if facts.incarnation and incarnation > facts.incarnation:
-            facts.leaving.clear()
-        facts.incarnation = max(facts.incarnation, incarnation)
-        facts.reported = load
-        facts.reported_at = now
+        state = self.state_of(name)
+        if state.incarnation and incarnation > state.incarnation:
+            state.leaving.clear()
+        state.incarnation = max(state.incarnation, incarnation)
+        state.reported = load
+        state.reported_at = now
 
     def succeeded(
         self, name: EndpointName, kind: str = "", seconds: float = 0.0, now: float = 0.0
     ) -> None:
-        """Learn from an answer.
+        """Record an answer of an endpoint.
 
         :param name: the endpoint that answered.
-        :param kind: the kind of work, by which its time is compared: the version or
-            service, a slash, and more; empty where the time says nothing.
-        :param seconds: how long it took.
+        :param kind: the kind of work whose durations are compared: the version or
+            service, a slash and further details; empty to ignore the duration.
+        :param seconds: the duration of the answer.
         :param now: monotonic seconds.
         """
-        facts = self.state_of(name)
-        facts.failures = 0
-        facts.ejections = 0
+        state = self.state_of(name)
+        state.failures = 0
+        state.ejections = 0
         if not kind:
             return
         self.answered_at[kind.partition(KIND_SEPARATOR)[0]] = now
-        ratio = self.pace.ratio(kind, seconds)
+        ratio = self.durations.ratio(kind, seconds)
         if ratio is not None:
-            facts.learn_speed(min(ratio, FAILED_RATIO), now)
-        self.pace.learn(kind, seconds)
+            state.learn_speed(min(ratio, FAILED_RATIO), now)
+        self.durations.learn(kind, seconds)
 
     def failed(self, name: EndpointName, now: float, target: str = "") -> None:
-        """Count a failure; several in a row leave the endpoint out for a while.
+        """Record a failure, and eject the endpoint after several consecutive ones.
 
-        The time grows from one to the next, unless nothing has answered since:
-        then the fault is not the endpoint's, and it is tried again soon.
+        Each ejection is longer than the last, unless no endpoint has answered since
+        then: in that case this one is not at fault, and it is tried again soon.
 
         :param name: the endpoint.
         :param now: monotonic seconds.
-        :param target: the version or service that failed; empty if not known.
+        :param target: the version or service that failed; empty if unknown.
         """
-        facts = self.state_of(name)
-        facts.failures += 1
-        facts.learn_speed(FAILED_RATIO, now)
-        if facts.failures < FAILURES_TO_EJECT:
+        state = self.state_of(name)
+        state.failures += 1
+        state.learn_speed(FAILED_RATIO, now)
+        if state.failures < FAILURES_TO_EJECT:
             return
         answered_at = self.answered_at.get(target, now)
-        if facts.ejections and answered_at < facts.ejected_at:
-            facts.ejections -= 1
-        seconds = min(EJECT_SECONDS * 2**facts.ejections, EJECT_MAX_SECONDS)
-        facts.ejected_at = now
-        facts.ejected_until = now + seconds
-        facts.ejections += 1
-        facts.failures = 0
-        # Once the time is over it is tried again like any other.
-        facts.slowness_at = float("-inf")
+        if state.ejections and answered_at < state.ejected_at:
+            state.ejections -= 1
+        seconds = min(EJECT_SECONDS * 2**state.ejections, EJECT_MAX_SECONDS)
+        state.ejected_at = now
+        state.ejected_until = now + seconds
+        state.ejections += 1
+        state.failures = 0
+        # After the ejection it is chosen like any other endpoint again.
+        state.slowness_at = float("-inf")
 
     def full(self, name: EndpointName, now: float) -> None:
-        """Note that an endpoint refused work for want of room.
+        """Record that an endpoint refused a request because it was full.
 
         :param name: the endpoint.
         :param now: monotonic seconds.
@@ -273,34 +275,34 @@
     def usable(
         self, endpoints: list[Endpoint], now: float, tried: frozenset[str]
     ) -> list[Endpoint]:
-        """Leave out those that are leaving, have failed the request, or are ejected.
+        """Filter out endpoints that are leaving, failed the request or are ejected.
 
-        :param endpoints: those that have the version or service.
+        :param endpoints: the endpoints that run the version or service.
         :param now: monotonic seconds.
         :param tried: endpoints that have failed this request.
         """
-        facts = self.states
+        states = self.states
         staying = [
             endpoint
             for endpoint in endpoints
             if endpoint.name not in tried
             and not endpoint.leaving
-            and not facts[endpoint.name].leaving
+            and not states[endpoint.name].leaving
         ]
         return self._not_ejected(staying, now)
 
     def accepting(
         self, endpoints: list[Endpoint], now: float, tried: frozenset[str]
     ) -> list[Endpoint]:
-        """Leave out those that are not usable, or have just said that they are full.
+        """Filter out endpoints that are not usable or have just reported being full.
 
-        :param endpoints: those that have the version or service.
+        :param endpoints: the endpoints that run the version or service.
         :param now: monotonic seconds.
         :param tried: endpoints that have failed this request.
         """
-        facts = self.states
+        states = self.states
         usable = self.usable(endpoints, now, tried)
-        return [item for item in usable if facts[item.name].full_until <= now]
+        return [item for item in usable if states[item.name].full_until <= now]
 
     def choose(
         self,
@@ -310,19 +312,19 @@
         tried: frozenset[str] = frozenset(),
         prefix: str = "",
     ) -> Endpoint | None:
-        """Choose where to send a request.
+        """Choose the endpoint for a request.
 
-        The hinted endpoint is taken where it has room.  Then prompts that begin
-        alike go to the same endpoint, whichever VM sends them, unless it has
-        clearly more to do than the others.  Otherwise it is the better of two
-        drawn at random, by estimated load.
+        The hinted endpoint is used if it has spare capacity.  Otherwise prompts with
+        the same prefix go to the same endpoint, whichever VM sends them, unless its
+        load is clearly higher than that of the others.  In all other cases it is the
+        endpoint with the lower estimated load of two drawn at random.
 
-        :param endpoints: those that have the version or service.
+        :param endpoints: the endpoints that run the version or service.
         :param now: monotonic seconds.
-        :param hint: the endpoint that is likely to have the prompt cached.
+        :param hint: the endpoint that probably has the prompt cached.
         :param tried: endpoints that have failed this request.
-        :param prefix: what stands for the prompt's beginning; empty for none.
-        :returns: the endpoint, or None where none has room.
+        :param prefix: the key of the prompt's prefix; empty for none.
+        :returns: the endpoint, or None if none has a free slot.
         """
         accepting = [
             endpoint
@@ -332,24 +334,25 @@
         if not accepting:
             return None
         for endpoint in accepting:
-            if endpoint.name == hint and self._has_room(endpoint, now):
+            if endpoint.name == hint and self._has_spare_capacity(endpoint, now):
                 return endpoint
         if prefix:
-            favourite = self._favourite(accepting, prefix, now)
-            if favourite is not None:
-                return favourite
+            preferred = self._preferred_endpoint(accepting, prefix, now)
+            if preferred is not None:
+                return preferred
         pair = self.rng.sample(accepting, min(2, len(accepting)))
-        return min(pair, key=lambda endpoint: self._weight(endpoint, now))
+        return min(pair, key=lambda endpoint: self._weighted_load(endpoint, now))
 
-    def _favourite(
+    def _preferred_endpoint(
         self, endpoints: list[Endpoint], prefix: str, now: float
     ) -> Endpoint | None:
-        """Choose the endpoint that is likely to have a prompt's beginning cached.
+        """Choose the endpoint that probably has a prompt's prefix cached.
 
-        It follows from the names alone, so all VMs agree without a word; cache
-        events come late and with gaps.  Its load is bounded by that of the others
-        (V. Mirrokni, M. Thorup, M. Zadimoghaddam, "Consistent Hashing with Bounded
-        Loads", 2016), and then it is the next one in rank.
+        The choice follows from the names alone, so all VMs agree without exchanging
+        messages; cache events arrive late and with gaps.  The load of the endpoint is
+        bounded relative to that of the others (V. Mirrokni, M. Thorup,
+        M. Zadimoghaddam, "Consistent Hashing with Bounded Loads", 2016); beyond the
+        bound, the next endpoint in the ranking is used.
         """
         loads = [
             self.state_of(e.name).load(now)
@@ -364,37 +367,34 @@
                 f"{prefix}\n{pair[0].name}".encode()
             ),
         )
-        for endpoint, load in ranked[:MAX_FAVOURITES]:
+        for endpoint, load in ranked[:MAX_PREFERRED]:
             fits = load < bound and endpoint.hall == self.hall
-            if fits and self._has_room(endpoint, now):
+            if fits and self._has_spare_capacity(endpoint, now):
                 return endpoint
         return None
 
     def usable_count(self, endpoints: list[Endpoint]) -> int:
-        """:param endpoints: endpoints of one version or service.
-
-        :returns: how many are not leaving.
-        """
+        """Count the endpoints of one version or service that are not leaving."""
         return sum(not self.is_leaving(endpoint) for endpoint in endpoints)
 
     def _not_ejected(self, endpoints: list[Endpoint], now: float) -> list[Endpoint]:
-        facts = self.states
-        fine = [e for e in endpoints if facts[e.name].ejected_until <= now]
-        if len(fine) >= FLOOR_SHARE * len(endpoints):
-            return fine
-        by_end = sorted(endpoints, key=lambda e: self.state_of(e.name).ejected_until)
-        floor = max(1, round(FLOOR_SHARE * len(endpoints)))
-        return by_end[:floor]
-
-    def _has_room(self, endpoint: Endpoint, now: float) -> bool:
-        """Whether it is worth going to for what it has cached."""
-        facts = self.state_of(endpoint.name)
-        fast = facts.slow_by(now) < SLOW_FACTOR
-        return fast and facts.load(now) < endpoint.slots
-
-    def _weight(self, endpoint: Endpoint, now: float) -> float:
-        facts = self.state_of(endpoint.name)
+        states = self.states
+        healthy = [e for e in endpoints if states[e.name].ejected_until <= now]
+        if len(healthy) >= MIN_USABLE_SHARE * len(endpoints):
+            return healthy
+        by_time = sorted(endpoints, key=lambda e: self.state_of(e.name).ejected_until)
+        floor = max(1, round(MIN_USABLE_SHARE * len(endpoints)))
+        return by_time[:floor]
+
+    def _has_spare_capacity(self, endpoint: Endpoint, now: float) -> bool:
+        """Return whether an endpoint is fast and free enough to use for its cache."""
+        state = self.state_of(endpoint.name)
+        fast = state.slow_by(now) < SLOW_FACTOR
+        return fast and state.load(now) < endpoint.slots
+
+    def _weighted_load(self, endpoint: Endpoint, now: float) -> float:
+        state = self.state_of(endpoint.name)
         penalty = 0 if endpoint.hall == self.hall else OTHER_HALL_PENALTY
-        # With the request itself: an idle endpoint that is slow is slow all the same.
-        load = (facts.load(now) + 1) * facts.slow_by(now)
+        # Count the request itself, so that an idle slow endpoint counts as slow.
+        load = (state.load(now) + 1) * state.slow_by(now)
         return (load + penalty) / endpoint.slots
--- a/walnutquay/state/requests/failures.py
+++ b/walnutquay/state/requests/failures.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Requests that several endpoints answered with a failure: the fault is their own."""
+"""Requests that fail at several endpoints, and therefore are at fault themselves."""
 
 from __future__ import annotations
 
@@ -8,33 +8,35 @@
 
 from walnutquay.state.process.ids import EndpointName, Fingerprint
 
-# A request that failed is forgotten after so long without another failure.
+# A failed request is forgotten after this time without another failure.
 FORGOTTEN_SECONDS = 60.0
-# Some 200 bytes each; those that failed least lately go first.
+# About 200 bytes each; the requests that failed least recently are evicted first.
 MAX_KEPT = 1_000
 
 
 class FailedRequests:
-    """Tells failures of endpoints from failures of requests.
+    """Distinguishes failures caused by endpoints from failures caused by requests.
 
-    A request that two endpoints have failed, and none has answered since, fails
-    wherever it runs; where its caller repeats it, no endpoint is to blame.
+    A request that failed at two endpoints, and that none has answered since, is assumed
+    to fail wherever it runs.  If its caller repeats it, the failures do not count
+    against any endpoint.
     """
 
     def __init__(self) -> None:
-        # Where each failed, and when it last did; monotonic seconds.
+        # The endpoints at which each request failed, and the time of its last failure;
+        # monotonic seconds.
         self.failed_at: OrderedDict[Fingerprint, set[EndpointName]] = OrderedDict()
         self.last: dict[Fingerprint, float] = {}
 
     def counts_against_endpoint(
         self, fingerprint: Fingerprint, endpoint: EndpointName, now: float
     ) -> bool:
-        """Take in a failure.
+        """Record a failure.
 
         :param fingerprint: the request.
         :param endpoint: the endpoint that answered it with a failure.
         :param now: monotonic seconds.
-        :returns: whether it counts against the endpoint.
+        :returns: whether the failure counts against the endpoint.
         """
         self._expire(now)
         endpoints = self.failed_at.setdefault(fingerprint, set())
@@ -46,7 +48,10 @@
         return len(endpoints) == 1
 
     def answered(self, fingerprint: Fingerprint) -> None:
-        """:param fingerprint: a request that an endpoint has answered well."""
+        """Forget the failures of a request that an endpoint has answered successfully.
+
+        :param fingerprint: the request.
+        """
         if fingerprint in self.failed_at:
             self._forget(fingerprint)
 
--- a/walnutquay/state/requests/fingerprints.py
+++ b/walnutquay/state/requests/fingerprints.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What tells one request from another, whatever ids its tries have."""
+"""Fingerprints that identify a request independently of the ids of its attempts."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def fingerprint(*parts: bytes) -> Fingerprint:
-    """Hash what makes a request.
+    """Hash the parts that identify a request.
 
-    Nobody can make a request with another's fingerprint: the hash is a cryptographic
-    one, and each part goes in with its length.
+    Nobody can construct a request with another request's fingerprint, because the hash
+    is cryptographic and each part is hashed together with its length.
 
-    :param parts: what makes the request, such as its caller, method, path and body.
+    :param parts: the identifying parts, such as the caller, method, path and body.
     """
     digest = hashlib.sha256()
     for part in parts:
--- a/walnutquay/state/requests/refusals.py
+++ b/walnutquay/state/requests/refusals.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Why a request is not run, in words that callers can act on."""
+"""Reasons for refusing a request, in terms that callers can act on."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RefusalCode(Enum):
-    """The codes that callers see in an error's ``code``."""
+    """The values of the ``code`` field in errors sent to callers."""
 
     BAD_REQUEST = "bad_request"
     BODY_TOO_LARGE = "body_too_large"
@@ -34,7 +34,7 @@
     ENDS_ENDPOINTS = "ends_endpoints"
 
 
-# The HTTP status that goes with each code; the rest are 503.
+# The HTTP status for each code; codes that are not listed use 503.
 STATUS_OF = {
     RefusalCode.BAD_REQUEST: 400,
     RefusalCode.BODY_TOO_LARGE: 413,
@@ -50,7 +50,7 @@
     RefusalCode.DEADLINE: 429,
     RefusalCode.IN_PROGRESS: 409,
     RefusalCode.KEY_REUSED: 422,
-    # The endpoints fail on it, not this VM: it will do no better by being sent again.
+    # The endpoints fail on the request, not this VM, so sending it again does not help.
     RefusalCode.ENDS_ENDPOINTS: 500,
 }
 DEFAULT_STATUS = 503
@@ -60,10 +60,10 @@
 class Refusal:
     """A decision not to run a request.
 
-    :param code: the code for the caller.
-    :param reason: a sentence for people.
-    :param retry_after: seconds after which to come back; None where coming
-        back does not help.
+    :param code: the error code for the caller.
+    :param reason: a human-readable sentence.
+    :param retry_after: seconds after which the caller should retry; None if a retry
+        does not help.
     """
 
     code: RefusalCode
@@ -72,5 +72,5 @@
 
     @property
     def status(self) -> int:
-        """The HTTP status."""
+        """The HTTP status code of the response."""
         return STATUS_OF.get(self.code, DEFAULT_STATUS)
--- a/walnutquay/state/requests/regions.py
+++ b/walnutquay/state/requests/regions.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""In which regions a request may run: those that all who have a say allow."""
+"""The regions in which a request may run: those that all constraints allow."""
 
 from __future__ import annotations
 
@@ -14,12 +14,14 @@
 Placed = TypeVar("Placed", Instance, Endpoint)
 
 
-def allowed_regions(*said: Collection[str]) -> frozenset[RegionName] | None:
-    """:param said: the regions that each one allows; none where it says nothing.
+def allowed_regions(*constraints: Collection[str]) -> frozenset[RegionName] | None:
+    """Intersect the regions that several constraints allow.
 
-    :returns: those that all of them allow; None for all that there are.
+    :param constraints: the regions that each constraint allows; empty if it does not
+        restrict them.
+    :returns: the regions that all constraints allow; None for all regions.
     """
-    sets = [frozenset(map(RegionName, one)) for one in said if one]
+    sets = [frozenset(map(RegionName, names)) for names in constraints if names]
     return frozenset.intersection(*sets) if sets else None
 
 
@@ -28,12 +30,12 @@
     allowed: frozenset[RegionName] | None,
     region_of: Mapping[HallName, RegionName],
 ) -> list[Placed]:
-    """Leave out the endpoints where a request may not run.
+    """Filter out the endpoints at which a request may not run.
 
-    :param endpoints: some endpoints.
-    :param allowed: the regions in which it may; None for all.
-    :param region_of: the region of each data hall; one whose region is not known
-        stands in none that is allowed.
+    :param endpoints: the endpoints to filter.
+    :param allowed: the regions in which the request may run; None for all.
+    :param region_of: the region of each data hall; a hall of unknown region is in none
+        of the allowed regions.
     """
     if allowed is None:
         return endpoints
--- a/walnutquay/state/requests/stages.py
+++ b/walnutquay/state/requests/stages.py
@@ -1,12 +1,12 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The stages of a request, made so that a false "not run" cannot be written.
+"""The stages of a request, designed so that a false "not run" cannot be expressed.
 
-A request is received, admitted, dispatched and answered; one that carries an
-idempotency key has to claim it first.  :class:`NotRun` can be had only from
-:meth:`Undispatched.refuse`, and a stage that has been left raises
-:class:`~walnutquay.exceptions.SpentStageError`, so the object kept from before
-a dispatch is of no use after it.
+A request is received, admitted, dispatched and answered; a request with an idempotency
+key has to claim the key first.  :class:`NotRun` is only created by
+:meth:`Undispatched.refuse`, and a stage that the request has left raises
+:class:`~walnutquay.exceptions.SpentStageError`, so a stage object kept from before a
+dispatch cannot be used after it.
 """
 
 from __future__ import annotations
@@ -19,32 +19,32 @@
 
 
 class RequestProgress:
-    """What the stages of one request share.
+    """The state that all stages of one request share.
 
     :param request: the request's id.
     """
 
     def __init__(self, request: RequestId) -> None:
         self.request = request
-        # The one stage that may still be used.
+        # The current stage, which is the only one that may still be used.
         self.stage: Stage | None = None
-        # Whether some endpoint may have begun work for this request.
+        # Whether any endpoint may have started work on this request.
         self.may_have_run = False
-        # How often the request has been sent to an endpoint.
+        # The number of times that the request has been sent to an endpoint.
         self.dispatches = 0
 
 
 class Stage:
-    """The base of all stages; making one leaves the stage before."""
+    """The base class of all stages; creating a stage makes it the current one."""
 
     def __init__(self, progress: RequestProgress) -> None:
         self.progress = progress
         progress.stage = self
 
     def leave(self) -> RequestProgress:
-        """Check that the request still is in this stage.
+        """Check that the request is still in this stage.
 
-        :returns: the journey, for the next stage.
+        :returns: the request's progress, for the next stage.
         :raises SpentStageError: if the request has left this stage.
         """
         if self.progress.stage is not self:
@@ -56,41 +56,41 @@
 
 
 class Undispatched(Stage):
-    """A stage in which no endpoint can have begun the work."""
+    """A stage in which no endpoint can have started the work."""
 
     def refuse(self, refusal: Refusal) -> NotRun:
-        """End the request without running it.
+        """Finish the request without running it.
 
-        :param refusal: why.
+        :param refusal: the reason.
         """
         return NotRun(self, refusal)
 
 
 class Unclaimed(Stage):
-    """The request carries a key, and nobody has looked yet whether it ran.
+    """The request has an idempotency key that has not been checked yet.
 
-    Nothing may be said of it here but that its outcome is unknown: an earlier
-    request under the same key may have run.
+    An earlier request with the same key may have run, so the only outcome that may be
+    reported from this stage is that the outcome is unknown.
     """
 
     def granted(self) -> Received:
-        """Note that the key is this request's, so none ran under it before."""
+        """Continue as owner of the key, so that no earlier request with it has run."""
         return Received(self.leave())
 
     def repeated(self) -> Answered:
-        """End the request with the answer of the one that holds the key."""
+        """Finish the request with the answer of the request that holds the key."""
         return Answered(self.leave())
 
     def unknown(self) -> OutcomeUnknown:
-        """End the request: what became of the key cannot be told now."""
+        """Finish the request because the state of its key cannot be determined now."""
         return OutcomeUnknown(self.leave())
 
 
 class Received(Undispatched):
-    """The request has been read, its caller is known, and it has no place yet."""
+    """The request has been read, its caller is known, and it has no slot yet."""
 
     def admit(self) -> Admitted:
-        """Take the request in: an endpoint has a place for it."""
+        """Admit the request because an endpoint has a slot for it."""
         return Admitted(self.leave())
 
 
@@ -98,32 +98,32 @@
     """The request may be sent to an endpoint."""
 
     def dispatch(self, endpoint: EndpointName) -> Dispatched:
-        """Send the request.
+        """Dispatch the request to an endpoint.
 
-        :param endpoint: who gets it.
+        :param endpoint: the endpoint that the request is sent to.
         """
         return _dispatch(self, endpoint)
 
 
 class Continuing(Stage):
-    """An endpoint has worked for the request already, and another is to follow.
+    """An endpoint has already worked on the request, and another one will follow.
 
-    This is so after a cascade's step, or when repeatable work failed.
+    This is the stage after a step of a cascade, or after repeatable work has failed.
     """
 
     def dispatch(self, endpoint: EndpointName) -> Dispatched:
-        """Send the request once more.
+        """Dispatch the request again.
 
-        :param endpoint: who gets it.
+        :param endpoint: the endpoint that the request is sent to.
         """
         return _dispatch(self, endpoint)
 
     def answered(self) -> Answered:
-        """End the request with the answer of an earlier step."""
+        """Finish the request with the answer of an earlier step."""
         return Answered(self.leave())
 
     def unknown(self) -> OutcomeUnknown:
-        """End the request without an answer."""
+        """Finish the request without an answer."""
         return OutcomeUnknown(self.leave())
 
 
@@ -133,53 +133,57 @@
     def __init__(self, progress: RequestProgress, endpoint: EndpointName) -> None:
         super().__init__(progress)
         self.endpoint = endpoint
-        # What was so before this dispatch, to return to if it never began.
+        # The value before this dispatch, restored if the endpoint did not start.
         self.ran_before = progress.may_have_run
         progress.may_have_run = True
         progress.dispatches += 1
 
     def answered(self) -> Answered:
-        """End the request: its whole answer is here."""
+        """Finish the request with its complete answer."""
         return Answered(self.leave())
 
     def unknown(self) -> OutcomeUnknown:
-        """End the request: what became of it cannot be told."""
+        """Finish the request because its outcome cannot be determined."""
         return OutcomeUnknown(self.leave())
 
     def not_started(self, proof: NotStartedError) -> Received | Continuing:
-        """Take the dispatch back, for the endpoint did not begin.
+        """Revert the dispatch because the endpoint did not start the work.
 
-        :param proof: the error that says so.
+        :param proof: the error that proves this.
+        :raises TypeError: if ``proof`` is another kind of error.
         """
         if not isinstance(proof, NotStartedError):
-            raise TypeError("only a NotStartedError proves that nothing began")
+            raise TypeError(
+                "only a NotStartedError proves that the endpoint did not start"
+            )
         progress = self.leave()
         progress.may_have_run = self.ran_before
         return Continuing(progress) if self.ran_before else Received(progress)
 
     def proceed(self) -> Continuing:
-        """Go on to another dispatch after this one has run or failed."""
+        """Continue with another dispatch after this one has run or failed."""
         return Continuing(self.leave())
 
 
 class Answered(Stage):
-    """The caller has, or is being sent, the whole answer."""
+    """The caller has received, or is being sent, the complete answer."""
 
 
 class OutcomeUnknown(Stage):
-    """Nobody here can tell whether the work was done."""
+    """The outcome is unknown: this VM cannot determine whether the work was done."""
 
 
 class NotRun(Stage):
     """The request was not run and will not be.
 
-    :param stage: the stage that the request is in: one before any dispatch.
-    :param refusal: why.
+    :param stage: the current stage of the request, which precedes any dispatch.
+    :param refusal: the reason.
+    :raises TypeError: if an endpoint may have started the work in ``stage``.
     """
 
     def __init__(self, stage: Undispatched, refusal: Refusal) -> None:
         if not isinstance(stage, Undispatched):
-            raise TypeError(f"{type(stage).__name__} cannot say 'not run'")
+            raise TypeError(f"cannot report 'not run' in stage {type(stage).__name__}")
         super().__init__(stage.leave())
         self.refusal = refusal
 
@@ -189,30 +193,30 @@
 
 
 def receive(request: RequestId) -> Received:
-    """Begin a request that carries no key: each arrival is one of its own.
+    """Start a request without an idempotency key; each arrival is a new request.
 
-    :param request: its id.
+    :param request: the request's id.
     """
     return Received(RequestProgress(request))
 
 
 def receive_keyed(request: RequestId) -> Unclaimed:
-    """Begin a request that carries an idempotency key.
+    """Start a request with an idempotency key.
 
-    :param request: its id.
+    :param request: the request's id.
     """
     return Unclaimed(RequestProgress(request))
 
 
 @dataclass(frozen=True, slots=True)
 class CostLine:
-    """What one step of a request cost.
+    """The cost of one step of a request.
 
     :param version: the version or service that ran.
-    :param endpoint: where.
-    :param input_tokens: tokens read.
-    :param output_tokens: tokens written.
-    :param cost: price in the configuration's currency.
+    :param endpoint: the endpoint that ran it.
+    :param input_tokens: the number of tokens read.
+    :param output_tokens: the number of tokens written.
+    :param cost: the price in the configuration's currency.
     """
 
     version: str
