--- a/tests/state/requests/test_endpoints.py
+++ b/tests/state/requests/test_endpoints.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The choice of endpoint, and news of endpoints that are leaving."""
+"""The choice of an endpoint, and announcements that endpoints are leaving."""
 
 from __future__ import annotations
 
@@ -31,36 +31,36 @@
 
 
 class ChoiceTest(unittest.TestCase):
-    """Where a request goes."""
+    """The choice of the endpoint for a request."""
 
     def setUp(self):
         self.table = EndpointTable("h", random.Random(7))
 
     def choices(self, among: list[Endpoint], now: float = 0.0, **more) -> Counter:
-        """:returns: how often each endpoint is chosen in a thousand tries."""
+        """:returns: how often each endpoint is chosen in a thousand calls."""
         picked = (self.table.choose(among, now, **more) for _ in range(1000))
         return Counter(endpoint.name for endpoint in picked if endpoint)
 
-    def test_the_less_loaded_of_two_is_taken(self):
+    def test_the_less_loaded_of_two_is_chosen(self):
         self.table.state_of("e0").in_flight = 3
         self.assertEqual(set(self.choices(endpoints(2))), {"e1"})
 
-    def test_none_where_all_are_at_their_limit(self):
+    def test_none_if_all_endpoints_are_full(self):
         for name in ("e0", "e1"):
             self.table.state_of(name).in_flight = 4
         self.assertIsNone(self.table.choose(endpoints(2), 0.0))
 
-    def test_the_hint_is_taken_unless_it_is_full(self):
+    def test_the_hinted_endpoint_is_chosen_unless_full(self):
         self.assertEqual(set(self.choices(endpoints(3), hint="e2")), {"e2"})
         self.table.report("e2", 4, NEW, 0.0)
         self.assertNotIn("e2", self.choices(endpoints(3), hint="e2"))
 
-    def test_an_old_report_says_nothing(self):
+    def test_an_old_report_is_ignored(self):
         self.table.report("e0", 100, NEW, 0.0)
         self.assertNotIn("e0", self.choices(endpoints(2), now=1.0))
         self.assertIn("e0", self.choices(endpoints(2), now=60.0))
 
-    def test_failures_leave_it_out_for_a_growing_time(self):
+    def test_repeated_failures_lengthen_the_ejection(self):
         for turn, seconds in enumerate((EJECT_SECONDS, 2 * EJECT_SECONDS)):
             start = 100.0 * turn
             for _ in range(FAILURES_TO_EJECT):
@@ -69,7 +69,7 @@
             self.assertNotIn("e0", self.choices(endpoints(4), now=before))
             self.assertIn("e0", self.choices(endpoints(4), now=start + seconds))
 
-    def test_the_time_does_not_grow_while_nothing_answers(self):
+    def test_the_ejection_is_not_lengthened_while_no_endpoint_answers(self):
         def fail(name: str, now: float) -> None:
             for _ in range(FAILURES_TO_EJECT):
                 self.table.failed(name, now, "v")
@@ -84,26 +84,26 @@
             self.table.state_of("e0").ejected_until, 20.0 + 2 * EJECT_SECONDS
         )
 
-    def test_half_of_them_remain_however_many_fail(self):
+    def test_half_of_the_endpoints_stay_in_use_if_all_fail(self):
         for name in ("e0", "e1", "e2", "e3"):
             for _ in range(FAILURES_TO_EJECT):
                 self.table.failed(name, 0.0)
         self.assertEqual(len(self.choices(endpoints(4), now=0.1)), 2)
 
-    def test_one_that_says_it_is_full_is_left_alone_for_a_moment(self):
+    def test_an_endpoint_that_reports_being_full_is_skipped_briefly(self):
         self.table.full("e0", 0.0)
         self.assertIsNone(self.table.choose(endpoints(1), FULL_SECONDS / 2))
         self.assertIsNotNone(self.table.choose(endpoints(1), FULL_SECONDS))
 
 
 class PrefixTest(unittest.TestCase):
-    """Prompts that begin alike go to one endpoint, as long as it is sound."""
+    """Prompts with the same prefix go to one endpoint as long as it is healthy."""
 
     def setUp(self):
         self.vms = [EndpointTable("h", random.Random(seed)) for seed in range(5)]
 
     def chosen(self, prefix: str, now: float = 0.0) -> set[str]:
-        """:returns: where the VMs send prompts with a beginning."""
+        """:returns: the endpoints to which the VMs send prompts with a prefix."""
         return {vm.choose(endpoints(8), now, prefix=prefix).name for vm in self.vms}
 
     def test_all_vms_agree_and_prefixes_are_spread(self):
@@ -112,31 +112,31 @@
         counts = Counter(name for names in found for name in names)
         self.assertEqual(len(counts), 8)
 
-    def test_a_favourite_that_is_busier_than_the_others_is_passed_over(self):
-        (favourite,) = self.chosen("p")
+    def test_a_busier_preferred_endpoint_is_skipped(self):
+        (preferred,) = self.chosen("p")
         for vm in self.vms:
             for endpoint in endpoints(8):
-                busy = 4 if endpoint.name == favourite else 1
+                busy = 4 if endpoint.name == preferred else 1
                 vm.state_of(endpoint.name).in_flight = busy
         (other,) = self.chosen("p")
-        self.assertNotEqual(other, favourite)
-        # While there is little to do, it stays.
+        self.assertNotEqual(other, preferred)
+        # It is chosen while its load is low.
         for vm in self.vms:
-            vm.state_of(favourite).in_flight = 1
-        self.assertEqual(self.chosen("p"), {favourite})
+            vm.state_of(preferred).in_flight = 1
+        self.assertEqual(self.chosen("p"), {preferred})
 
-    def test_a_slow_one_loses_prefixes_and_hints_and_gets_them_back(self):
-        (favourite,) = self.chosen("p")
+    def test_a_slow_endpoint_loses_prefixes_and_hints_until_it_recovers(self):
+        (preferred,) = self.chosen("p")
         for vm in self.vms:
             for number in range(200):
                 name = f"e{number % 8}"
-                seconds = 4.0 if name == favourite else 1.0
+                seconds = 4.0 if name == preferred else 1.0
                 vm.succeeded(name, "tag", seconds, 0.0)
-        self.assertNotIn(favourite, self.chosen("p"))
+        self.assertNotIn(preferred, self.chosen("p"))
         vm = self.vms[0]
-        hinted = {vm.choose(endpoints(8), 0.0, favourite).name for _ in range(50)}
-        self.assertNotEqual(hinted, {favourite})
-        self.assertEqual(self.chosen("p", now=200.0), {favourite})
+        hinted = {vm.choose(endpoints(8), 0.0, preferred).name for _ in range(50)}
+        self.assertNotEqual(hinted, {preferred})
+        self.assertEqual(self.chosen("p", now=200.0), {preferred})
 
     def test_failures_count_as_slow(self):
         vm = self.vms[0]
@@ -147,13 +147,13 @@
 
 
 class SubsetTest(unittest.TestCase):
-    """One VM uses a bounded part of many endpoints, the fleet uses all."""
+    """One VM uses a bounded subset of the endpoints, and the fleet uses all of them."""
 
-    def test_few_are_all_used(self):
+    def test_few_endpoints_are_all_used(self):
         few = endpoints(SUBSET)
         self.assertEqual(subset(few, "vm", "h"), few)
 
-    def test_many_are_spread_over_the_vms(self):
+    def test_many_endpoints_are_spread_over_the_vms(self):
         many = endpoints(200)
         chosen = [subset(many, f"vm-{n}", "h") for n in range(60)]
         self.assertEqual({len(part) for part in chosen}, {SUBSET})
@@ -161,49 +161,50 @@
         self.assertEqual(len(counts), 200)
         self.assertLess(max(counts.values()), 3 * 60 * SUBSET / 200)
 
-    def test_the_own_hall_goes_first(self):
+    def test_endpoints_in_the_same_hall_come_first(self):
         many = endpoints(200)
         here = [e.model_copy(update={"hall": "own"}) for e in many[:20]]
         chosen = subset([*many[20:], *here], "vm", "own")
         self.assertEqual(chosen[:20], sorted(here, key=chosen.index))
 
 
-# what is heard, in order -> whether the endpoint gets new work then
+# The announcements and reports received, in order, and whether the endpoint still gets
+# new requests after them.
 LEAVING = [
     ([], True),
     ([("mark", LeavingSource.VM_LIST, "")], False),
     ([("mark", LeavingSource.ENDPOINT, OLD)], False),
     ([("mark", LeavingSource.PEER, OLD)], False),
     ([("mark", LeavingSource.CONFIGURATION, "")], False),
-    # A report of the same incarnation may be older than the news.
+    # A report of the same incarnation may be older than the announcement.
     ([("report", OLD), ("mark", LeavingSource.VM_LIST, ""), ("report", OLD)], False),
     ([("report", OLD), ("mark", LeavingSource.PEER, OLD), ("report", OLD)], False),
-    # Only a newer one takes it back.
+    # Only a newer incarnation clears the mark.
     ([("report", OLD), ("mark", LeavingSource.PEER, OLD), ("report", NEW)], True),
-    # Late news of the incarnation before says nothing of this one.
+    # A late announcement about the previous incarnation does not affect this one.
     ([("report", NEW), ("mark", LeavingSource.PEER, OLD)], True),
     ([("report", NEW), ("mark", LeavingSource.PEER, NEW)], False),
-    # A stale report of the older one does not bring it back either.
+    # A stale report of the older incarnation does not clear the mark either.
     ([("report", NEW), ("mark", LeavingSource.PEER, NEW), ("report", OLD)], False),
 ]
 
 
 class LeavingTest(unittest.TestCase):
-    """The first word that it is leaving wins until a newer incarnation."""
+    """An announcement that an endpoint is leaving lasts until a newer incarnation."""
 
-    def test_table(self):
-        for heard, stays in LEAVING:
-            with self.subTest(heard=heard):
+    def test_marks_and_reports(self):
+        for received, usable in LEAVING:
+            with self.subTest(received=received):
                 table = EndpointTable("h", random.Random(1))
-                for what, *rest in heard:
-                    if what == "mark":
-                        table.mark_leaving("e0", *rest)
+                for action, *arguments in received:
+                    if action == "mark":
+                        table.mark_leaving("e0", *arguments)
                     else:
-                        table.report("e0", 0, rest[0], 0.0)
+                        table.report("e0", 0, arguments[0], 0.0)
                 chosen = table.choose(endpoints(1), 0.0)
-                self.assertEqual(chosen is not None, stays)
+                self.assertEqual(chosen is not None, usable)
 
-    def test_configuration_alone_is_enough(self):
+    def test_a_leaving_endpoint_in_the_configuration_is_not_chosen(self):
         table = EndpointTable("h", random.Random(1))
         leaving = endpoints(1)[0].model_copy(update={"leaving": True})
         self.assertIsNone(table.choose([leaving], 0.0))
--- a/tests/state/requests/test_failures.py
+++ b/tests/state/requests/test_failures.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Whether a failure is the request's or the endpoint's."""
+"""Whether a failure counts against the request or the endpoint."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
 
 
 class FailedRequestsTest(unittest.TestCase):
-    """A request that fails at two endpoints fails by itself."""
+    """A request that fails at two endpoints is itself at fault."""
 
     def setUp(self) -> None:
         self.failed = FailedRequests()
 
-    def test_failures_at_one_endpoint_count(self):
+    def test_failures_at_one_endpoint_count_against_it(self):
         for now in (1.0, 2.0, 3.0):
             self.assertTrue(self.failed.counts_against_endpoint(BAD, ONE, now))
 
-    def test_failures_at_two_do_not(self):
+    def test_failures_at_two_endpoints_count_against_neither(self):
         self.assertTrue(self.failed.counts_against_endpoint(BAD, ONE, 1.0))
         for endpoint in (OTHER, ONE, OTHER):
             self.assertFalse(self.failed.counts_against_endpoint(BAD, endpoint, 2.0))
 
-    def test_each_request_for_itself(self):
+    def test_requests_are_counted_separately(self):
         self.failed.counts_against_endpoint(BAD, ONE, 1.0)
         self.failed.counts_against_endpoint(BAD, OTHER, 1.0)
         self.assertTrue(self.failed.counts_against_endpoint(GOOD, OTHER, 1.0))
 
-    def test_an_answer_shows_that_the_endpoints_failed(self):
+    def test_an_answer_clears_the_failures_of_a_request(self):
         self.failed.counts_against_endpoint(BAD, ONE, 1.0)
         self.failed.counts_against_endpoint(BAD, OTHER, 1.0)
         self.failed.answered(BAD)
         self.assertTrue(self.failed.counts_against_endpoint(BAD, ONE, 2.0))
 
-    def test_time(self):
+    def test_old_failures_are_forgotten(self):
         self.failed.counts_against_endpoint(BAD, ONE, 1.0)
         later = 1.0 + failures.FORGOTTEN_SECONDS + 1.0
         self.assertTrue(self.failed.counts_against_endpoint(BAD, OTHER, later))
--- a/tests/state/requests/test_requests.py
+++ b/tests/state/requests/test_requests.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The stages of a request: no path leads to a false "not run"."""
+"""The stages of a request: no sequence of steps leads to a false "not run"."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 REFUSAL = Refusal(RefusalCode.QUEUE_FULL, "full", 1.0)
 PROOF = NotStartedError("refused")
 
-# Every step that a stage offers; the depth of the search is in steps.
+# The steps that each stage offers.  The depth of the search is a number of steps.
 STEPS = {
     Unclaimed: ("granted", "repeated", "unknown"),
     Received: ("admit", "refuse"),
@@ -37,7 +37,7 @@
 
 
 def paths(steps: tuple[str, ...], keyed: bool) -> Iterator[tuple[tuple, list[Stage]]]:
-    """Yield every path through the stages, with the stages it went through."""
+    """Yield every sequence of steps, with the stages that it goes through."""
     stages: list[Stage] = [receive_keyed("r") if keyed else receive("r")]
     for step in steps:
         stages.append(getattr(stages[-1], step)(*ARGUMENTS.get(step, ())))
@@ -48,17 +48,17 @@
 
 
 class StagesTest(unittest.TestCase):
-    """All paths up to a depth, from both beginnings."""
+    """All sequences of steps up to a depth, from both initial stages."""
 
-    def test_not_run_is_reached_only_when_no_dispatch_stands(self):
+    def test_not_run_is_reached_only_if_every_dispatch_was_reverted(self):
         seen = 0
         for keyed in (False, True):
             for steps, stages in paths((), keyed):
                 if not isinstance(stages[-1], NotRun):
                     continue
                 seen += 1
-                taken_back = steps.count("not_started")
-                self.assertEqual(steps.count("dispatch"), taken_back, steps)
+                reverted = steps.count("not_started")
+                self.assertEqual(steps.count("dispatch"), reverted, steps)
                 self.assertFalse(stages[-1].progress.may_have_run)
         self.assertGreater(seen, 10)
 
@@ -67,20 +67,20 @@
             if isinstance(stages[-1], NotRun):
                 self.assertIn("granted", steps)
 
-    def test_a_stage_kept_from_before_is_of_no_use(self):
+    def test_a_stage_that_was_left_raises(self):
         for steps, stages in paths((), False):
             for old in stages[:-1]:
                 for step in STEPS[type(old)]:
                     with self.assertRaises(SpentStageError, msg=(steps, step)):
                         getattr(old, step)(*ARGUMENTS.get(step, ()))
 
-    def test_not_run_cannot_be_made_from_a_dispatch(self):
+    def test_not_run_cannot_be_created_after_a_dispatch(self):
         running = receive("r").admit().dispatch("e1")
         with self.assertRaises(TypeError):
             NotRun(running, REFUSAL)
         self.assertFalse(hasattr(running, "refuse"))
 
-    def test_only_a_proof_takes_a_dispatch_back(self):
+    def test_only_not_started_error_reverts_a_dispatch(self):
         running = receive("r").admit().dispatch("e1")
         with self.assertRaises(TypeError):
             running.not_started(EndpointError("cut"))
--- a/walnutquay/state/requests/durations.py
+++ b/walnutquay/state/requests/durations.py
@@ -10,7 +10,7 @@
 
 # An answer is slow if it takes more than this many times the baseline duration.
 SLOW_FACTOR = 2.0
-# A baseline is available after this many answers; each new answer has this weight.
+# A baseline needs this many answers; each new answer has at least this weight.
 MIN_SAMPLES = 5
 WEIGHT = 0.1
 # Callers name the classes, so their number is bounded.
