--- a/lab/mutants/callers.py
+++ b/lab/mutants/callers.py
@@ -78,6 +78,6 @@
         "state/requests/crashes.py",
         "        if sent < crash.sent[trace.fingerprint]:",
         "        if False:",
-        "tests.state.requests.test_crashhistory.ToldAgainTest",
+        "tests.state.requests.test_crashhistory.RepeatedTraceTest",
     ),
 ]
--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -178,7 +178,7 @@
         "state/requests/attribution.py",
         "crash.at - crash.sent[request] if ran is None else ran",
         "math.inf if ran is None else ran",
-        "tests.state.requests.test_crashhistory.BesideTest",
+        "tests.state.requests.test_crashhistory.ConcurrentRequestTest",
     ),
     Mutation(
         "failures: a request that fails everywhere counts against no endpoint",
@@ -199,7 +199,7 @@
         "state/requests/attribution.py",
         "chosen = _without_redundant(_greedy_cover(suspects))",
         "chosen = suspects",
-        "tests.state.requests.test_crashhistory.BesideTest",
+        "tests.state.requests.test_crashhistory.ConcurrentRequestTest",
     ),
     Mutation(
         "ends of endpoints: news of the others are waited for",
@@ -321,7 +321,7 @@
         "state/requests/crashtypes.py",
         "return self.sent.get(fingerprint, -math.inf) < self.at",
         "return True",
-        "tests.state.requests.test_crashhistory.SentLaterTest",
+        "tests.state.requests.test_crashhistory.SentAfterCrashTest",
     ),
     Mutation(
         "emptied halls: their endpoints are chosen all the same",
