--- a/tests/coordination/requests/test_crashes.py
+++ b/tests/coordination/requests/test_crashes.py
@@ -191,7 +191,7 @@
         holder = next(worker for worker in self.endpoints.values() if worker.runs)
         # The others are to end first.
         table = self.gateway.path.places.table
-        table.of(holder.name).ejected_until = float("inf")
+        table.state_of(holder.name).ejected_until = float("inf")
         await self.stream(CRASHING)
         answer = await copy
         self.assertFalse(answer.whole)
@@ -314,7 +314,7 @@
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         # These are back within some 0.2 s, real ones after seconds.
-        patch = mock.patch.object(crashes, "SAME_END_SECONDS", 0.05)
+        patch = mock.patch.object(crashes, "SAME_CRASH_SECONDS", 0.05)
         patch.start()
         self.addCleanup(patch.stop)
         self.links = {}
@@ -354,4 +354,4 @@
         for worker in self.endpoints.values():
             worker.choose = lambda seen: once.pop() if once else by_body(seen)
         self.assertTrue((await self.stream(b"harmless")).whole)
-        self.assertEqual(self.book_of(self.gateway).ends, [])
+        self.assertEqual(self.book_of(self.gateway).crashes, [])
--- a/walnutquay/coordination/requests/crashes.py
+++ b/walnutquay/coordination/requests/crashes.py
@@ -196,7 +196,7 @@
 
         :param endpoint: an endpoint of which another start has become known.
         """
-        traces = self.broken.ended(endpoint, monotonic())
+        traces = self.broken.pop_crashed(endpoint, monotonic())
         if traces:
             self._tell_ended(endpoint, "it has started again")
         for trace in traces:
@@ -246,7 +246,7 @@
             self._note(CrashTrace(fingerprint, target, endpoint, 0.0, answered=True))
 
     def _note(self, trace: CrashTrace) -> None:
-        if not self.book.take(trace, monotonic()):
+        if not self.book.record(trace, monotonic()):
             return
         self._tell_blocked("")
         self.news.tell(trace)
@@ -261,7 +261,7 @@
         """
         now = monotonic()
         for trace in traces:
-            self.book.take(trace, now)
+            self.book.record(trace, now)
         self._tell_blocked(vm)
 
     def blocked_traces(self) -> list[CrashTrace]:
@@ -313,7 +313,7 @@
 
     def _compare(self) -> None:
         """Forget what is too old, and let other VMs see whether they know the same."""
-        if not self.book.ends and not self.book.answered:
+        if not self.book.crashes and not self.book.answered:
             return
         self.book.expire(monotonic())
         self._tell_blocked("")
--- a/walnutquay/coordination/routed/places.py
+++ b/walnutquay/coordination/routed/places.py
@@ -25,7 +25,7 @@
 )
 from walnutquay.state.requests.endpoints import EndpointTable
 from walnutquay.state.requests.refusals import Refusal, RefusalCode
-from walnutquay.state.requests.regions import within
+from walnutquay.state.requests.regions import filter_by_region
 from walnutquay.state.routed.modelchoice import Demand, priority_weight
 from walnutquay.state.routed.traffic import PromptTraffic, SentPrompt
 from walnutquay.state.routed.work import PromptWork, WorkTable, preferred_endpoint
@@ -168,7 +168,7 @@
     def _untried(self, need: Need) -> list[Instance]:
         """Give the endpoints that could serve a request and have not failed it."""
         candidates = self.candidates(ServiceName(need.target), need.version)
-        allowed = within(candidates, need.regions, self.region_of)
+        allowed = filter_by_region(candidates, need.regions, self.region_of)
         return [item for item in allowed if item.name not in need.tried]
 
     def unreached(self, grant: Grant, silent: bool) -> None:
@@ -242,9 +242,9 @@
         :returns: the engines; None where no endpoint may be sent it now.
         """
         now = monotonic()
-        allowed = within(self.candidates(service), regions, self.region_of)
+        allowed = filter_by_region(self.candidates(service), regions, self.region_of)
         left = self.reach.within(self.cold.open(allowed, now))
-        open_ones = self.table.open_ones(left, now, frozenset()) or left
+        open_ones = self.table.accepting(left, now, frozenset()) or left
         return self._engines(open_ones, service, now) if open_ones else None
 
     def reading_of(self, grant: Grant) -> float | None:
@@ -298,7 +298,7 @@
         self, left: list[Instance], need: Need, work: PromptWork, now: float
     ) -> Instance | None:
         """Choose the engine that is likely to have read a prompt first."""
-        open_ones = self.table.open_ones(left, now, need.tried)
+        open_ones = self.table.accepting(left, now, need.tried)
         if not open_ones:
             return None
         service = ServiceName(need.target)
@@ -316,7 +316,7 @@
         All tries of the request meet there, and what was beside it is spread over the
         others: so one more end tells it from most of these, and no two end at a time.
         """
-        open_ones = self.table.open_ones(left, now, need.tried) or left
+        open_ones = self.table.accepting(left, now, need.tried) or left
         name = preferred_endpoint([item.name for item in open_ones], need.suspect)
         return next((item for item in open_ones if item.name == name), None)
 
