--- a/walnutquay/coordination/requests/crashes.py
+++ b/walnutquay/coordination/requests/crashes.py
@@ -64,7 +64,7 @@
         self.tasks = Tasks()
         # Tries that are under way, shared by all requests that broke there.
         self.tries: dict[EndpointName, asyncio.Task[bool]] = {}
-        self.news = CrashExchange(peers, self.book, self.take)
+        self.exchange = CrashExchange(peers, self.book, self.take)
         # Blocked requests that another version is tried with, and until when.
         self.trying: dict[Fingerprint, float] = {}
         # The requests that were blocked when it was last looked.
@@ -72,13 +72,13 @@
         # Called when a request is blocked by what this VM has seen.
         self.on_blocked: Callable[[], None] = _nothing
         # Told of requests that have stayed blocked, whichever VM found them.
-        self.stoppers: list[Callable[[frozenset[Fingerprint]], None]] = []
+        self.stop_callbacks: list[Callable[[frozenset[Fingerprint]], None]] = []
 
     def listen(self, dispatcher: Dispatcher) -> None:
         """:param dispatcher: where the other VMs' messages come from."""
-        dispatcher.on(CrashNews, self.news.hear)
-        dispatcher.on(CrashDigest, self.news.compare)
-        dispatcher.on(AskCrashes, self.news.answer)
+        dispatcher.on(CrashNews, self.exchange.receive)
+        dispatcher.on(CrashDigest, self.exchange.compare)
+        dispatcher.on(AskCrashes, self.exchange.answer)
 
     def start(self) -> None:
         """Begin to compare with the other VMs, and to forget."""
@@ -87,11 +87,11 @@
     def close(self) -> None:
         """End all tries, and tell no more."""
         self.tasks.stop()
-        self.news.stop()
+        self.exchange.stop()
 
     # Requests.
 
-    def suspected(self, arrival: Arrival) -> Fingerprint | None:
+    def suspect_fingerprint(self, arrival: Arrival) -> Fingerprint | None:
         """:param arrival: a request that looks for a place.
 
         :returns: its fingerprint, if an endpoint has ended under it.
@@ -191,7 +191,7 @@
         trace = CrashTrace(arrival.fingerprint(), target, endpoint, 0.0, ran, held=held)
         self.broken.note(InterruptedRequest(monotonic(), trace))
 
-    def started_again(self, endpoint: EndpointName) -> None:
+    def on_endpoint_restarted(self, endpoint: EndpointName) -> None:
         """Take what broke there lately for broken by the endpoint's end.
 
         :param endpoint: an endpoint of which another start has become known.
@@ -221,7 +221,7 @@
         fingerprint = arrival.fingerprint()
         self._note(CrashTrace(fingerprint, target, endpoint, 0.0, ran, held=held))
 
-    async def settle(self, arrival: Arrival, target: CrashTarget) -> None:
+    async def await_peer_traces(self, arrival: Arrival, target: CrashTarget) -> None:
         """Wait for the other VMs' news of an end that makes a request seem guilty.
 
         What was beside the guilty one at another VM looks guilty until they have come.
@@ -241,7 +241,7 @@
         :param target: what the endpoint runs.
         :param endpoint: the endpoint.
         """
-        fingerprint = self.suspected(arrival)
+        fingerprint = self.suspect_fingerprint(arrival)
         if fingerprint is not None:
             self._note(CrashTrace(fingerprint, target, endpoint, 0.0, answered=True))
 
@@ -249,7 +249,7 @@
         if not self.book.record(trace, monotonic()):
             return
         self._tell_blocked("")
-        self.news.tell(trace)
+        self.exchange.tell(trace)
 
     # The other VMs.
 
@@ -291,7 +291,7 @@
         """
         await asyncio.sleep(SETTLE_SECONDS)
         still = found & self.book.blocked.get(target, frozenset())
-        for stopper in self.stoppers:
+        for stopper in self.stop_callbacks:
             stopper(still)
 
     def _emit(
@@ -317,7 +317,7 @@
             return
         self.book.expire(monotonic())
         self._tell_blocked("")
-        self.news.tell_digest()
+        self.exchange.tell_digest()
 
 
 def _nothing() -> None:
