--- a/lab/capacity/processortime.py
+++ b/lab/capacity/processortime.py
@@ -27,7 +27,7 @@
 
 from lab.capacity.costvm import MODELS, NEW, ROUTE, SERVICE, CostVm, hall_of, vm_name
 from walnutquay.coordination.process.eventlog import EventLog
-from walnutquay.coordination.requests.places import Need
+from walnutquay.coordination.requests.slots import SlotRequest
 from walnutquay.coordination.routed.cascading import Cascading
 from walnutquay.coordination.routed.turn import RoutedTurn
 from walnutquay.logs import LineHandler
@@ -97,10 +97,10 @@
     return used.ru_utime + used.ru_stime
 
 
-def _need(vm: CostVm, turn: RoutedTurn) -> Need:
+def _need(vm: CostVm, turn: RoutedTurn) -> SlotRequest:
     arrival = turn.arrival
     choice = vm.versions.version_for(turn)
-    return Need(
+    return SlotRequest(
         arrival.request,
         arrival.organisation.name,
         1.0,
--- a/lab/crashes/fleet.py
+++ b/lab/crashes/fleet.py
@@ -196,7 +196,7 @@
             self.vms.append(watch)
             watch.start()
             if self.way_of.stops:
-                watch.stoppers.append(partial(self._stop, watch))
+                watch.stop_callbacks.append(partial(self._stop, watch))
         end = LEAD_SECONDS + TAIL_SECONDS
         for number in range(self.crashing):
             self._spawn(self._crashing_caller(f"crashing-{number}"))
@@ -242,7 +242,7 @@
     async def _deliver(self, watch: CrashWatch, envelope: Envelope) -> None:
         await self.way()
         handlers = SimpleNamespace(
-            CrashNews=watch.news.hear, CrashDigest=watch.news.compare
+            CrashNews=watch.news.receive, CrashDigest=watch.news.compare
         )
         getattr(handlers, type(envelope.body).__name__)(envelope)
 
@@ -295,7 +295,7 @@
                 ran = None if began is None else self.loop.time() - began
                 held = self.loop.time() - sent
                 watch.ended(request, TARGET, engine.name, ran, held)
-                await watch.settle(request, TARGET)
+                await watch.await_peer_traces(request, TARGET)
         return "lost"
 
     def _stop(self, watch: CrashWatch, blocked: frozenset[Fingerprint]) -> None:
@@ -312,7 +312,7 @@
         left = [e for e in self.engines if e.up and e not in tried]
         if not left:
             return None
-        suspect = watch.suspected(request)
+        suspect = watch.suspect_fingerprint(request)
         if suspect and self.way_of.apart:
             name = preferred_of([e.name for e in left], suspect)
             return next(engine for engine in left if engine.name == name)
--- a/lab/mutants/own.py
+++ b/lab/mutants/own.py
@@ -17,7 +17,7 @@
     Mutation(
         "withdrawn: asked again right before the dispatch",
         "coordination/requests/paths.py",
-        "refusal = self.still_allowed(turn)",
+        "refusal = self.no_longer_allowed(turn)",
         "refusal = None",
         "tests.processes.test_sessions.WithdrawnWhileWaitingTest",
     ),
--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -134,15 +134,15 @@
     Mutation(
         "ends of endpoints: a request that ends them is kept from the others",
         "coordination/requests/paths.py",
-        "refusal = self.still_allowed(turn) or self._blocked(turn, placed.ok)",
-        "refusal = self.still_allowed(turn)",
+        "refusal = self.no_longer_allowed(turn) or self._blocked(turn, placed.ok)",
+        "refusal = self.no_longer_allowed(turn)",
         "tests.coordination.requests.test_crashes.CrashingRequestTest",
     ),
     Mutation(
         "ends of endpoints: the same for chats",
         "coordination/requests/paths.py",
-        "refusal = self.still_allowed(turn) or self._blocked(turn, placed.ok)",
-        "refusal = self.still_allowed(turn)",
+        "refusal = self.no_longer_allowed(turn) or self._blocked(turn, placed.ok)",
+        "refusal = self.no_longer_allowed(turn)",
         "tests.processes.test_crashing_chats",
     ),
     Mutation(
@@ -219,7 +219,7 @@
     Mutation(
         "ends of endpoints: copies under way are ended",
         "coordination/requests/paths.py",
-        "parts.crashes.stoppers.append(self.limits.stop)",
+        "parts.crashes.stop_callbacks.append(self.limits.stop)",
         "pass",
         "tests.coordination.requests.test_crashes.CopiesTest",
     ),
@@ -304,7 +304,7 @@
     Mutation(
         "ends of endpoints: the next start of an endpoint shows its end",
         "daemon/gateway.py",
-        "self.knowledge.instances.restart_listeners.append(crashes.started_again)",
+        "self.knowledge.instances.restart_listeners.append(crashes.on_endpoint_restarted)",
         "pass",
         "tests.coordination.requests.test_crashes.ForwarderTest",
     ),
--- a/tests/coordination/store/test_restarts.py
+++ b/tests/coordination/store/test_restarts.py
@@ -11,7 +11,7 @@
 from standins.worker import Behaviour
 from tests.coordination.store.test_knowledge import instance
 from tests.gatewaycase import GatewayCase
-from walnutquay.coordination.requests.places import Grant
+from walnutquay.coordination.requests.slots import Grant
 from walnutquay.state.process.events import EventKind
 from walnutquay.state.process.ids import EndpointName, ServiceName, WorkKind
 from walnutquay.state.store.halls import EmptiedHall
--- a/walnutquay/coordination/own/admission.py
+++ b/walnutquay/coordination/own/admission.py
@@ -12,7 +12,7 @@
 
 from walnutquay.coordination.own.configurations import Configurations
 from walnutquay.coordination.process.context import Context
-from walnutquay.coordination.requests.places import Grant, Need
+from walnutquay.coordination.requests.slots import Grant, SlotRequest
 from walnutquay.state.own.admission import PoolQueue, Waiting
 from walnutquay.state.own.configuration import Configuration
 from walnutquay.state.process.events import EventKind
@@ -30,7 +30,7 @@
 class _Waiter:
     """A request that waits, and the future that its place comes by."""
 
-    need: Need
+    need: SlotRequest
     future: asyncio.Future[Result[Grant, Refusal]]
 
 
@@ -54,7 +54,7 @@
         self.subsets: dict[str, list[Endpoint]] = {}
         configurations.listeners.append(self.on_configuration)
 
-    def endpoints_for(self, need: Need) -> list[Endpoint]:
+    def endpoints_for(self, need: SlotRequest) -> list[Endpoint]:
         """:param need: a request.
 
         :returns: the endpoints that this VM uses for it, where it may run.
@@ -92,7 +92,7 @@
         found = {e.name: e for t in targets for e in self.endpoints_of(t)}
         return list(found.values())
 
-    async def acquire(self, need: Need) -> Result[Grant, Refusal]:
+    async def acquire(self, need: SlotRequest) -> Result[Grant, Refusal]:
         """Get a place, at once or after a wait.
 
         :param need: what for.
@@ -168,7 +168,7 @@
                 self.queues[name].pool = pool
             self.wake(name)
 
-    def _unusable(self, need: Need, endpoints: list[Endpoint]) -> Refusal | None:
+    def _unusable(self, need: SlotRequest, endpoints: list[Endpoint]) -> Refusal | None:
         left = [endpoint for endpoint in endpoints if endpoint.name not in need.tried]
         if self.table.usable_count(left):
             return None
@@ -179,7 +179,7 @@
         )
 
     def _choose(
-        self, endpoints: list[Endpoint], now: float, need: Need
+        self, endpoints: list[Endpoint], now: float, need: SlotRequest
     ) -> Endpoint | None:
         if need.suspect:
             # All tries of it meet at one endpoint, away from what broke beside it.
@@ -218,7 +218,7 @@
         return sum(e.slots for e in endpoints if not self.table.is_leaving(e))
 
     async def _wait(
-        self, queue: PoolQueue, need: Need, endpoints: list[Endpoint], now: float
+        self, queue: PoolQueue, need: SlotRequest, endpoints: list[Endpoint], now: float
     ) -> Result[Grant, Refusal]:
         until = min(
             queue.latest_start(need.deadline), need.since + queue.pool.queue_seconds
--- a/walnutquay/coordination/own/chats.py
+++ b/walnutquay/coordination/own/chats.py
@@ -25,7 +25,7 @@
     Streamed,
     Whole,
 )
-from walnutquay.coordination.requests.places import Grant
+from walnutquay.coordination.requests.slots import Grant
 from walnutquay.exceptions import EndpointError
 from walnutquay.protocol import chat
 from walnutquay.state.own.claims import RunState, WholeAnswer
@@ -86,7 +86,7 @@
 
     # Steps.
 
-    def still_allowed(self, turn: ChatTurn) -> Refusal | None:
+    def no_longer_allowed(self, turn: ChatTurn) -> Refusal | None:
         """:param turn: the request.
 
         :returns: why the present version may not run now, or None.
@@ -114,7 +114,7 @@
         turn.next_step()
         return True
 
-    async def no_place(
+    async def no_slot(
         self, turn: ChatTurn, stage: Received | Continuing, refusal: Refusal
     ) -> Outcome:
         """Fall back to the answer of an earlier step, if there is one.
@@ -124,11 +124,11 @@
         :param refusal: why the present step has no place.
         """
         if turn.best is None or isinstance(stage, Received):
-            return await super().no_place(turn, stage, refusal)
+            return await super().no_slot(turn, stage, refusal)
         stage.answered()
         return await self._finish(turn, turn.best)
 
-    async def give_up(
+    async def abandon(
         self, turn: ChatTurn, running: Dispatched, error: EndpointError
     ) -> Outcome:
         """Fall back to the answer of an earlier step, if there is one.
@@ -138,7 +138,7 @@
         :param error: how the present step failed.
         """
         if turn.best is None:
-            return await super().give_up(turn, running, error)
+            return await super().abandon(turn, running, error)
         running.answered()
         return await self._finish(turn, turn.best)
 
@@ -185,8 +185,8 @@
     def _succeeded(self, turn: ChatTurn, grant: Grant, seconds: float) -> None:
         kind = f"{turn.target}/{turn.arrival.request_class}"
         self.parts.table.succeeded(grant.name, kind, seconds, monotonic())
-        self.on_whole(turn, grant)
-        self.on_answered(turn)
+        self.on_whole_answer(turn, grant)
+        self.on_success(turn)
         self.parts.health.note(turn.target, True, turn.arrival.request_class, seconds)
 
     # Whole answers.
--- a/walnutquay/coordination/own/keyed.py
+++ b/walnutquay/coordination/own/keyed.py
@@ -14,7 +14,7 @@
 from walnutquay.coordination.requests.outcomes import Arrival, Outcome, Unknown, Whole
 from walnutquay.coordination.requests.pathparts import PathParts
 from walnutquay.coordination.requests.paths import STOPPING_RETRY, RequestPath
-from walnutquay.coordination.requests.places import Grant
+from walnutquay.coordination.requests.slots import Grant
 from walnutquay.coordination.requests.turn import Turn
 from walnutquay.exceptions import NotStartedError
 from walnutquay.state.own.claims import RepeatAction, RunState
@@ -93,10 +93,10 @@
 
     async def _serve_keyed(self, arrival: Arrival) -> Outcome:
         stage = receive_keyed(arrival.request)
-        shut = self.shut()
-        if shut is not None:
-            reason = f"{shut.reason}; it was not asked whether the key has run"
-            return self._cannot_tell(stage, reason, shut.retry_after)
+        not_accepting = self.not_accepting()
+        if not_accepting is not None:
+            reason = f"{not_accepting.reason}; it was not asked whether the key has run"
+            return self._cannot_tell(stage, reason, not_accepting.retry_after)
         claims = self.parts.claims
         result = await claims.acquire(
             arrival.organisation.name,
--- a/walnutquay/coordination/own/services.py
+++ b/walnutquay/coordination/own/services.py
@@ -7,7 +7,7 @@
 from walnutquay.coordination.own.keyed import KeyedParts, KeyedPath
 from walnutquay.coordination.own.turns import ServiceTurn
 from walnutquay.coordination.requests.outcomes import Outcome, ServiceArrival, Whole
-from walnutquay.coordination.requests.places import Grant
+from walnutquay.coordination.requests.slots import Grant
 from walnutquay.exceptions import EndpointError
 from walnutquay.protocol import chat
 from walnutquay.protocol.services import (
@@ -45,7 +45,7 @@
         self.parts.retries.first_try()
         return await self.attempts(ServiceTurn(arrival), stage)
 
-    def still_allowed(self, turn: ServiceTurn) -> Refusal | None:
+    def no_longer_allowed(self, turn: ServiceTurn) -> Refusal | None:
         """:param turn: the call.
 
         :returns: why the organisation may not make it now, or None.
@@ -72,7 +72,7 @@
         now = monotonic()
         kind = f"{turn.target}/{turn.arrival.method}"
         self.parts.table.succeeded(grant.name, kind, now - started, now)
-        self.on_whole(turn, grant)
+        self.on_whole_answer(turn, grant)
         running.answered()
         service = turn.arrival.service
         line = CostLine(service.name, grant.name, cost=service.price_call)
--- a/walnutquay/coordination/requests/crashes.py
+++ b/walnutquay/coordination/requests/crashes.py
@@ -69,11 +69,11 @@
         # Called when a request is blocked by what this VM has seen.
         self.on_blocked: Callable[[], None] = _nothing
         # Told of requests that have stayed blocked, whichever VM found them.
-        self.stoppers: list[Callable[[frozenset[Fingerprint]], None]] = []
+        self.stop_callbacks: list[Callable[[frozenset[Fingerprint]], None]] = []
 
     def listen(self, dispatcher: Dispatcher) -> None:
         """:param dispatcher: where the other VMs' messages come from."""
-        dispatcher.on(CrashNews, self.news.hear)
+        dispatcher.on(CrashNews, self.news.receive)
         dispatcher.on(CrashDigest, self.news.compare)
         dispatcher.on(AskCrashes, self.news.answer)
 
@@ -88,7 +88,7 @@
 
     # Requests.
 
-    def suspected(self, arrival: Arrival) -> Fingerprint | None:
+    def suspect_fingerprint(self, arrival: Arrival) -> Fingerprint | None:
         """:param arrival: a request that looks for a place.
 
         :returns: its fingerprint, if an endpoint has ended under it.
@@ -188,7 +188,7 @@
         trace = CrashTrace(arrival.fingerprint(), target, endpoint, 0.0, ran, held=held)
         self.broken.note(Broken(monotonic(), trace))
 
-    def started_again(self, endpoint: EndpointName) -> None:
+    def on_endpoint_restarted(self, endpoint: EndpointName) -> None:
         """Take what broke there lately for broken by the endpoint's end.
 
         :param endpoint: an endpoint of which another start has become known.
@@ -218,7 +218,7 @@
         fingerprint = arrival.fingerprint()
         self._note(CrashTrace(fingerprint, target, endpoint, 0.0, ran, held=held))
 
-    async def settle(self, arrival: Arrival, target: CrashTarget) -> None:
+    async def await_peer_traces(self, arrival: Arrival, target: CrashTarget) -> None:
         """Wait for the other VMs' news of an end that makes a request seem guilty.
 
         What was beside the guilty one at another VM looks guilty until they have come.
@@ -238,7 +238,7 @@
         :param target: what the endpoint runs.
         :param endpoint: the endpoint.
         """
-        fingerprint = self.suspected(arrival)
+        fingerprint = self.suspect_fingerprint(arrival)
         if fingerprint is not None:
             self._note(CrashTrace(fingerprint, target, endpoint, 0.0, answered=True))
 
@@ -288,7 +288,7 @@
         """
         await asyncio.sleep(SETTLE_SECONDS)
         still = found & self.book.blocked.get(target, frozenset())
-        for stopper in self.stoppers:
+        for stopper in self.stop_callbacks:
             stopper(still)
 
     def _emit(
--- a/walnutquay/coordination/requests/crashnews.py
+++ b/walnutquay/coordination/requests/crashnews.py
@@ -112,7 +112,7 @@
         for first in range(0, len(traces), TRACES_TOLD):
             self.peers.tell_all(CrashNews(tuple(traces[first : first + TRACES_TOLD])))
 
-    def hear(self, envelope: Envelope) -> None:
+    def receive(self, envelope: Envelope) -> None:
         """Take in what another VM has noted.
 
         :param envelope: its message.
--- a/walnutquay/coordination/requests/hooks.py
+++ b/walnutquay/coordination/requests/hooks.py
@@ -7,7 +7,7 @@
 from abc import ABC, abstractmethod
 
 from walnutquay.coordination.requests.outcomes import Arrival
-from walnutquay.coordination.requests.places import Grant
+from walnutquay.coordination.requests.slots import Grant
 from walnutquay.coordination.requests.turn import Turn
 from walnutquay.exceptions import EndpointError, NotStartedError
 from walnutquay.state.process.events import Facts
@@ -18,7 +18,7 @@
     """Asked and told by the path of a request at each of its steps."""
 
     @abstractmethod
-    def still_allowed(self, turn: Turn) -> Refusal | None:
+    def no_longer_allowed(self, turn: Turn) -> Refusal | None:
         """Ask the configuration of this moment, right before a dispatch.
 
         :param turn: the request.
@@ -44,7 +44,7 @@
         """
         return {}
 
-    def facts_known(self) -> Facts:
+    def facts_state_age(self) -> Facts:
         """:returns: how old what this VM knows is; nothing in the base."""
         return {}
 
--- a/walnutquay/coordination/requests/outcomes.py
+++ b/walnutquay/coordination/requests/outcomes.py
@@ -47,7 +47,7 @@
     :param request_class: the caller's class of request.
     :param longest_pause: the longest time between two events that went to the
         caller; seconds.
-    :param first_at: when the first of them went there; monotonic seconds.
+    :param first_event_at: when the first of them went there; monotonic seconds.
     :param passed_at: when the last of them went there; monotonic seconds.
     """
 
@@ -58,7 +58,7 @@
     key: str = ""
     request_class: str = "default"
     longest_pause: float = 0.0
-    first_at: float | None = None
+    first_event_at: float | None = None
     passed_at: float | None = None
 
     def identity(self) -> tuple[bytes, ...]:
@@ -73,13 +73,13 @@
         caller = self.organisation.name.encode()
         return Fingerprint(fingerprint(caller, *self.identity())[:FINGERPRINT_DIGITS])
 
-    def passed(self, now: float) -> None:
+    def note_relayed(self, now: float) -> None:
         """Note that events go to the caller.
 
         :param now: monotonic seconds.
         """
         if self.passed_at is None:
-            self.first_at = now
+            self.first_event_at = now
         else:
             self.longest_pause = max(self.longest_pause, now - self.passed_at)
         self.passed_at = now
--- a/walnutquay/coordination/requests/pathparts.py
+++ b/walnutquay/coordination/requests/pathparts.py
@@ -8,8 +8,8 @@
 
 from walnutquay.coordination.process.context import Context
 from walnutquay.coordination.requests.crashes import CrashWatch
-from walnutquay.coordination.requests.places import Places
 from walnutquay.coordination.requests.recorder import TraceRecorder
+from walnutquay.coordination.requests.slots import SlotAllocator
 from walnutquay.state.own.admission import RetryBudget
 from walnutquay.state.requests.endpoints import EndpointTable
 from walnutquay.state.requests.failures import FailedRequests
@@ -29,7 +29,7 @@
     """
 
     context: Context
-    admission: Places
+    admission: SlotAllocator
     table: EndpointTable
     retries: RetryBudget
     recorder: TraceRecorder
--- a/walnutquay/coordination/requests/paths.py
+++ b/walnutquay/coordination/requests/paths.py
@@ -10,6 +10,7 @@
 
 from walnutquay.coordination.requests.hooks import PathHooks
 from walnutquay.coordination.requests.limits import CallLimits
+from walnutquay.coordination.requests.outcomelog import tell_outcome
 from walnutquay.coordination.requests.outcomes import (
     Arrival,
     Outcome,
@@ -17,8 +18,7 @@
     Unknown,
 )
 from walnutquay.coordination.requests.pathparts import PathParts
-from walnutquay.coordination.requests.places import Grant, Need
-from walnutquay.coordination.requests.telling import tell_outcome
+from walnutquay.coordination.requests.slots import Grant, SlotRequest
 from walnutquay.coordination.requests.turn import Turn
 from walnutquay.exceptions import EndpointError, NotStartedError
 from walnutquay.state.process.events import EventKind
@@ -58,7 +58,7 @@
         self.under_way: dict[RequestId, Arrival] = {}
         # The limits of those that an endpoint has.
         self.limits = CallLimits()
-        parts.crashes.stoppers.append(self.limits.stop)
+        parts.crashes.stop_callbacks.append(self.limits.stop)
         # Set when the VM is stopping and takes no new requests.
         self.closed = False
 
@@ -77,7 +77,7 @@
                 EventKind.RECEIVED, request=request, **self.facts_received(arrival)
             )
             outcome = await self.begin(arrival)
-            facts = self.facts_known()
+            facts = self.facts_state_age()
             tell_outcome(self.context, arrival, outcome, monotonic() - started, facts)
             return outcome
         finally:
@@ -92,9 +92,9 @@
         :param arrival: the request.
         """
         stage = receive(arrival.request)
-        shut = self.shut()
-        if shut is not None:
-            return self.refuse(stage, shut)
+        not_accepting = self.not_accepting()
+        if not_accepting is not None:
+            return self.refuse(stage, not_accepting)
         return await self.run(arrival, stage)
 
     @abstractmethod
@@ -119,13 +119,13 @@
         :raises EndpointError: if it may have, and there is no answer.
         """
 
-    def need_of(self, turn: Turn) -> Need:
+    def need_of(self, turn: Turn) -> SlotRequest:
         """:param turn: the request.
 
         :returns: what it needs a place for now.
         """
         arrival = turn.arrival
-        return Need(
+        return SlotRequest(
             arrival.request,
             arrival.organisation.name,
             arrival.organisation.weight,
@@ -135,7 +135,7 @@
             turn.hint,
             turn.tried,
             turn.prefix,
-            suspect=self.parts.crashes.suspected(arrival) or "",
+            suspect=self.parts.crashes.suspect_fingerprint(arrival) or "",
             regions=allowed_regions(arrival.organisation.regions),
         )
 
@@ -146,7 +146,7 @@
         """
         return self.parts.retries.take()
 
-    def on_ended(self, turn: Turn, grant: Grant) -> None:
+    def on_crashed(self, turn: Turn, grant: Grant) -> None:
         """Note that an endpoint has ended while it had a request.
 
         :param turn: the request.
@@ -157,7 +157,7 @@
         held = monotonic() - grant.started
         self.parts.crashes.ended(turn.arrival, target, grant.name, ran, held)
 
-    def on_whole(self, turn: Turn, grant: Grant) -> None:
+    def on_whole_answer(self, turn: Turn, grant: Grant) -> None:
         """Note that an endpoint has answered a request whole.
 
         :param turn: the request.
@@ -179,7 +179,7 @@
             if placed.is_error():
                 if self.go_elsewhere(turn, placed.error):
                     continue
-                return await self.no_place(turn, stage, placed.error)
+                return await self.no_slot(turn, stage, placed.error)
             grant = placed.ok
             ready = stage.admit() if isinstance(stage, Received) else stage
             running = self._dispatch(turn, ready, grant)
@@ -193,7 +193,7 @@
                 turn.waiting_since = monotonic()
             stage = result
 
-    async def no_place(
+    async def no_slot(
         self, turn: Turn, stage: Received | Continuing, refusal: Refusal
     ) -> Outcome:
         """End a request for which there is no place.
@@ -218,7 +218,7 @@
         placed = await self.parts.admission.acquire(self.need_of(turn))
         if placed.is_error():
             return placed
-        refusal = self.still_allowed(turn) or self._blocked(turn, placed.ok)
+        refusal = self.no_longer_allowed(turn) or self._blocked(turn, placed.ok)
         if refusal is not None:
             self.parts.admission.release(placed.ok)
             return Error(refusal)
@@ -287,7 +287,7 @@
             turn.tried |= {grant.name}
             self.context.metrics.count("retries")
             return running.go_on()
-        return await self.give_up(turn, running, error)
+        return await self.abandon(turn, running, error)
 
     async def note_failure(
         self, turn: Turn, grant: Grant, error: EndpointError
@@ -306,8 +306,8 @@
             ended = await self.parts.crashes.has_ended(grant.endpoint)
         target = grant.target_of(turn.target)
         if ended:
-            self.on_ended(turn, grant)
-            await self.parts.crashes.settle(turn.arrival, target)
+            self.on_crashed(turn, grant)
+            await self.parts.crashes.await_peer_traces(turn.arrival, target)
         elif broke:
             ran = _seconds_since(grant.began)
             held = monotonic() - grant.started
@@ -326,7 +326,7 @@
             fingerprint=turn.arrival.fingerprint() if broke else None,
         )
 
-    async def give_up(
+    async def abandon(
         self, turn: Turn, running: Dispatched, error: EndpointError
     ) -> Outcome:
         """End a request whose last try has failed.
@@ -351,7 +351,7 @@
                 return
         self.parts.table.failed(grant.name, now, turn.target)
 
-    def on_answered(self, turn: Turn) -> None:
+    def on_success(self, turn: Turn) -> None:
         """Note that an endpoint has answered a request well.
 
         :param turn: the request.
@@ -366,7 +366,7 @@
         """
         return Refused(stage.refuse(refusal))
 
-    def shut(self) -> Refusal | None:
+    def not_accepting(self) -> Refusal | None:
         """:returns: why this VM takes no requests now, or None."""
         if self.closed:
             return Refusal(
--- a/walnutquay/coordination/requests/places.py
+++ b/walnutquay/coordination/requests/slots.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Need:
+class SlotRequest:
     """What a request needs a place for.
 
     :param request: its id.
@@ -93,10 +93,10 @@
         return CrashTarget(ServiceName(target), VersionName(version))
 
 
-class Places(Protocol):
+class SlotAllocator(Protocol):
     """Gives out places at endpoints."""
 
-    async def acquire(self, need: Need) -> Result[Grant, Refusal]:
+    async def acquire(self, need: SlotRequest) -> Result[Grant, Refusal]:
         """:param need: what for.
 
         :returns: a place, or why there is none.
--- a/walnutquay/coordination/routed/calls.py
+++ b/walnutquay/coordination/routed/calls.py
@@ -6,7 +6,7 @@
 
 import aiohttp
 
-from walnutquay.coordination.requests.places import Grant
+from walnutquay.coordination.requests.slots import Grant
 from walnutquay.coordination.routed.budgets import RetryBudgets
 from walnutquay.coordination.routed.places import RoutedPlaces
 from walnutquay.coordination.routed.ports import Dialect
--- a/walnutquay/coordination/routed/cold.py
+++ b/walnutquay/coordination/routed/cold.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from walnutquay.coordination.process.context import Context
-from walnutquay.coordination.requests.places import Need
+from walnutquay.coordination.requests.slots import SlotRequest
 from walnutquay.state.process.events import EventKind
 from walnutquay.state.process.ids import EndpointName, HallName, ServiceName, VmName
 from walnutquay.state.routed.cold import (
@@ -205,7 +205,7 @@
         return found
 
     async def wait_for(
-        self, find: Callable[[], list[Instance]], need: Need
+        self, find: Callable[[], list[Instance]], need: SlotRequest
     ) -> list[Instance]:
         """Wait until a request may be sent to some endpoint, but not for long.
 
--- a/walnutquay/coordination/routed/facts.py
+++ b/walnutquay/coordination/routed/facts.py
@@ -10,7 +10,7 @@
 import math
 
 from walnutquay.coordination.requests.outcomes import Arrival
-from walnutquay.coordination.requests.places import Grant
+from walnutquay.coordination.requests.slots import Grant
 from walnutquay.coordination.routed.places import RoutedPlaces
 from walnutquay.coordination.routed.turn import RoutedArrival, RoutedTurn
 from walnutquay.coordination.store.knowledge import Knowledge
--- a/walnutquay/coordination/routed/path.py
+++ b/walnutquay/coordination/routed/path.py
@@ -10,7 +10,7 @@
 from walnutquay.coordination.requests.outcomes import Outcome, Streamed, Unknown, Whole
 from walnutquay.coordination.requests.pathparts import PathParts
 from walnutquay.coordination.requests.paths import RequestPath
-from walnutquay.coordination.requests.places import Grant, Need
+from walnutquay.coordination.requests.slots import Grant, SlotRequest
 from walnutquay.coordination.routed.answers import FailedAnswerError, as_whole
 from walnutquay.coordination.routed.bodies import WatchedExchange, whole_body
 from walnutquay.coordination.routed.budgets import RetryBudgets
@@ -100,7 +100,7 @@
         """
         return self.facts.dispatched(turn, grant)
 
-    def facts_known(self) -> Facts:
+    def facts_state_age(self) -> Facts:
         """:returns: how old what this VM knows is."""
         return self.facts.known()
 
@@ -139,7 +139,7 @@
             return True
         return self.budgets.of(turn.service).take()
 
-    def need_of(self, turn: RoutedTurn) -> Need:
+    def need_of(self, turn: RoutedTurn) -> SlotRequest:
         """:param turn: the request.
 
         :returns: what it needs a place for now.
@@ -155,7 +155,7 @@
             regions=turn.regions,
         )
 
-    def still_allowed(self, turn: RoutedTurn) -> Refusal | None:
+    def no_longer_allowed(self, turn: RoutedTurn) -> Refusal | None:
         """:param turn: the request.
 
         :returns: why it may not be sent any more, or None.
@@ -205,7 +205,7 @@
         assert isinstance(grant.endpoint, Instance)
         return self.places.book.is_current(grant.endpoint)
 
-    def on_ended(self, turn: RoutedTurn, grant: Grant) -> None:
+    def on_crashed(self, turn: RoutedTurn, grant: Grant) -> None:
         """Let another endpoint be asked though all attempts are used up.
 
         Attempts bound how many endpoints work on one request; this one does no more.
@@ -213,7 +213,7 @@
         :param turn: a request whose endpoint has ended.
         :param grant: the endpoint.
         """
-        super().on_ended(turn, grant)
+        super().on_crashed(turn, grant)
         turn.sends -= 1
         if self.is_current(grant):
             self.places.unreached(grant, silent=False)
@@ -231,7 +231,7 @@
             turn.prepaid = True
             self.places.unreached(grant, silent=True)
 
-    async def give_up(
+    async def abandon(
         self, turn: RoutedTurn, running: Dispatched, error: EndpointError
     ) -> Outcome:
         """End a request whose last try has failed.
@@ -251,7 +251,7 @@
             return Unknown(running.unknown(), reason, CODE_TIMEOUT, 504)
         return Unknown(running.unknown(), f"the endpoint failed: {error}")
 
-    async def no_place(
+    async def no_slot(
         self, turn: RoutedTurn, stage: Received | Continuing, refusal: Refusal
     ) -> Outcome:
         """End a request for which there is no place.
@@ -269,7 +269,7 @@
             # It tells the caller more than that nobody else could be asked.
             stage.answered()
             return Whole(answer)
-        return await super().no_place(turn, stage, refusal)
+        return await super().no_slot(turn, stage, refusal)
 
     # One endpoint.
 
@@ -301,7 +301,7 @@
             cannot_resume = turn.progress.begun and head.status != STATUS_OK
             if head.status >= 500 or cannot_resume:
                 body = await whole_body(answer, grant.name)
-                self.on_whole(turn, grant)
+                self.on_whole_answer(turn, grant)
                 self.versions.failed(turn, grant)
                 raise FailedAnswerError(as_whole(head, body), peer=grant.name)
             self.versions.answer_began(turn, grant, seconds)
@@ -336,7 +336,7 @@
         kind = f"{turn.target}/{turn.arrival.route.name}/{turn.model}"
         now = monotonic()
         self.parts.table.succeeded(EndpointName(grant.name), kind, seconds, now)
-        self.on_whole(turn, grant)
-        self.on_answered(turn)
+        self.on_whole_answer(turn, grant)
+        self.on_success(turn)
         if not judged:
             self.versions.succeeded(turn, grant, seconds)
--- a/walnutquay/coordination/routed/places.py
+++ b/walnutquay/coordination/routed/places.py
@@ -10,7 +10,7 @@
 from expression import Error, Ok, Result
 
 from walnutquay.coordination.process.context import Context
-from walnutquay.coordination.requests.places import Grant, Need
+from walnutquay.coordination.requests.slots import Grant, SlotRequest
 from walnutquay.coordination.routed.cold import ColdGate
 from walnutquay.coordination.routed.promptengines import EngineBeliefs, PromptEngines
 from walnutquay.coordination.routed.reach import Reach
@@ -118,7 +118,7 @@
             return found
         return [item for item in found if item.version in allowed]
 
-    async def acquire(self, need: Need) -> Result[Grant, Refusal]:
+    async def acquire(self, need: SlotRequest) -> Result[Grant, Refusal]:
         """:param need: what for.
 
         :returns: a place, or why there is none.
@@ -165,7 +165,7 @@
             return Ok(Grant(chosen, now, WorkKind.QUICK))
         return Ok(self._with_work(Grant(chosen, now, WorkKind.PATIENT), need))
 
-    def _untried(self, need: Need) -> list[Instance]:
+    def _untried(self, need: SlotRequest) -> list[Instance]:
         """Give the endpoints that could serve a request and have not failed it."""
         candidates = self.candidates(ServiceName(need.target), need.version)
         allowed = within(candidates, need.regions, self.region_of)
@@ -190,7 +190,7 @@
         assert isinstance(endpoint, Instance)
         return await self.reach.still_there(endpoint)
 
-    def _with_work(self, grant: Grant, need: Need) -> Grant:
+    def _with_work(self, grant: Grant, need: SlotRequest) -> Grant:
         """Note the reading that an engine is given."""
         assert need.work is not None
         work, now = need.work, grant.started
@@ -295,7 +295,7 @@
             self.work.learn(note.work.model, note.work.tokens, seconds)
 
     def _for_prompt(
-        self, left: list[Instance], need: Need, work: PromptWork, now: float
+        self, left: list[Instance], need: SlotRequest, work: PromptWork, now: float
     ) -> Instance | None:
         """Choose the engine that is likely to have read a prompt first."""
         open_ones = self.table.open_ones(left, now, need.tried)
@@ -310,7 +310,9 @@
         kept = self.kept_seconds(service, now)
         return PromptEngines(self.beliefs, engines, kept, now)
 
-    def _apart(self, left: list[Instance], need: Need, now: float) -> Instance | None:
+    def _apart(
+        self, left: list[Instance], need: SlotRequest, now: float
+    ) -> Instance | None:
         """Choose the endpoint that all VMs choose for a request under which one ended.
 
         All tries of the request meet there, and what was beside it is spread over the
--- a/walnutquay/coordination/routed/ports.py
+++ b/walnutquay/coordination/routed/ports.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Protocol
 
-from walnutquay.coordination.requests.places import Grant
+from walnutquay.coordination.requests.slots import Grant
 from walnutquay.coordination.routed.turn import RoutedTurn
 from walnutquay.protocol.calls import AnswerHead, CallHead, SendOrder
 from walnutquay.state.trials.choice import VersionChoice
--- a/walnutquay/coordination/routed/streaming.py
+++ b/walnutquay/coordination/routed/streaming.py
@@ -7,7 +7,7 @@
 import aiohttp
 
 from walnutquay.coordination.process.context import Context
-from walnutquay.coordination.requests.places import Grant
+from walnutquay.coordination.requests.slots import Grant
 from walnutquay.coordination.routed.bodies import WatchedBody
 from walnutquay.coordination.routed.budgets import RetryBudgets
 from walnutquay.coordination.routed.facts import RoutedFacts
@@ -89,7 +89,7 @@
             )
             await reply.begin(head)
         began = monotonic()
-        passed = 0
+        note_relayed = 0
         judged = False
         body = WatchedBody(
             answer,
@@ -99,12 +99,12 @@
         async for data in body:
             events = [e for e in parser.feed(data) if turn.progress.accept(e)]
             if events:
-                turn.arrival.passed(monotonic())
+                turn.arrival.note_relayed(monotonic())
                 await reply.write(b"".join(events))
-            passed += len(events)
-            if passed > JUDGED_EVENTS and not judged:
+            note_relayed += len(events)
+            if note_relayed > JUDGED_EVENTS and not judged:
                 judged = True
-                pause = (monotonic() - began) / (passed - 1)
+                pause = (monotonic() - began) / (note_relayed - 1)
                 self.versions.paced(turn, grant, seconds, pause)
         watched.check(grant.name)
         if parser.buffer:
--- a/walnutquay/coordination/routed/turn.py
+++ b/walnutquay/coordination/routed/turn.py
@@ -70,7 +70,7 @@
 
         :returns: whether its first part or a pause took longer than the route's aims.
         """
-        first = now if self.first_at is None else self.first_at
+        first = now if self.first_event_at is None else self.first_event_at
         if first - self.came > self.route.objective_seconds:
             return True
         return 0.0 < self.route.pause_seconds < self.longest_pause
--- a/walnutquay/coordination/trials/judging.py
+++ b/walnutquay/coordination/trials/judging.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from walnutquay.coordination.requests.places import Grant
+from walnutquay.coordination.requests.slots import Grant
 from walnutquay.coordination.routed.turn import RoutedTurn
 from walnutquay.state.process.counts import LatestTable
 from walnutquay.state.process.ids import EndpointName, RequestId, ServiceName
--- a/walnutquay/coordination/trials/sessions.py
+++ b/walnutquay/coordination/trials/sessions.py
@@ -8,7 +8,7 @@
 
 import logbook
 
-from walnutquay.coordination.requests.places import Grant
+from walnutquay.coordination.requests.slots import Grant
 from walnutquay.coordination.routed.turn import RoutedTurn
 from walnutquay.coordination.trials.news import LAST_CALL_SECONDS, Peers
 from walnutquay.coordination.trials.task import TrialTask
--- a/walnutquay/coordination/trials/versions.py
+++ b/walnutquay/coordination/trials/versions.py
@@ -10,7 +10,7 @@
 
 from walnutquay.coordination.process.context import Context
 from walnutquay.coordination.process.tasks import Tasks
-from walnutquay.coordination.requests.places import Grant
+from walnutquay.coordination.requests.slots import Grant
 from walnutquay.coordination.routed.turn import RoutedTurn
 from walnutquay.coordination.store.knowledge import Knowledge
 from walnutquay.coordination.trials.answers import (
--- a/walnutquay/daemon/gateway.py
+++ b/walnutquay/daemon/gateway.py
@@ -212,7 +212,7 @@
         self.knowledge.halls.back_listeners.append(places.cold.on_hall_back)
         WorkExchange(places, self.peers).listen(self.dispatcher)
         crashes = self._make_crashes()
-        self.knowledge.instances.restart_listeners.append(crashes.started_again)
+        self.knowledge.instances.restart_listeners.append(crashes.on_endpoint_restarted)
         parts = PathParts(
             self.context, places, table, RetryBudget(), TraceRecorder(), crashes
         )
--- a/walnutquay/daemon/gatewayapi.py
+++ b/walnutquay/daemon/gatewayapi.py
@@ -245,7 +245,7 @@
             detail=refusal.code.value,
             reason=refusal.reason,
             retry_after=refusal.retry_after,
-            **self.path.facts_known(),
+            **self.path.facts_state_age(),
         )
         response = _refusal_response(refusal, request.headers.get(names.REQUEST_ID))
         if not request.content.at_eof():
