--- a/lab/crashes/fleet.py
+++ b/lab/crashes/fleet.py
@@ -133,7 +133,7 @@
         await self.fleet.way()
         for watch in self.fleet.vms:
             if watch.context.vm == name and self.fleet.way_of.told:
-                return watch.news.answer(self.fleet.envelope(self.vm, body))
+                return watch.exchange.answer(self.fleet.envelope(self.vm, body))
         raise PeerError("there is no such VM")
 
 
@@ -242,7 +242,7 @@
     async def _deliver(self, watch: CrashWatch, envelope: Envelope) -> None:
         await self.way()
         handlers = SimpleNamespace(
-            CrashNews=watch.news.receive, CrashDigest=watch.news.compare
+            CrashNews=watch.exchange.receive, CrashDigest=watch.exchange.compare
         )
         getattr(handlers, type(envelope.body).__name__)(envelope)
 
@@ -284,7 +284,7 @@
             sent = self.loop.time()
             began = await self._try(watch, engine, request)
             if began is True:
-                watch.answered(request, TARGET, engine.name)
+                watch.record_answer(request, TARGET, engine.name)
                 return "served"
             if not request.crashes:
                 self.found.hit += 1
@@ -294,7 +294,7 @@
                 sends -= 1
                 ran = None if began is None else self.loop.time() - began
                 held = self.loop.time() - sent
-                watch.ended(request, TARGET, engine.name, ran, held)
+                watch.record_crash(request, TARGET, engine.name, ran, held)
                 await watch.await_peer_traces(request, TARGET)
         return "lost"
 
--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -190,7 +190,7 @@
     Mutation(
         "ends of endpoints: an answer clears a request",
         "coordination/requests/paths.py",
-        "self.parts.crashes.answered(turn.arrival, target, grant.name)",
+        "self.parts.crashes.record_answer(turn.arrival, target, grant.name)",
         "pass",
         "tests.coordination.requests.test_crashes.BesideTest",
     ),
--- a/tests/coordination/requests/test_crashes.py
+++ b/tests/coordination/requests/test_crashes.py
@@ -257,7 +257,7 @@
         second = await self.add_gateway("vm-2")
         await self.stream(CRASHING)
         # Until all of it has been told, to nobody.
-        telling = self.gateway.path.parts.crashes.news.tasks
+        telling = self.gateway.path.parts.crashes.exchange.tasks
         await self.until(lambda: not telling.running)
         self.assertFalse(self.book_of(second).blocked)
         for one, other in ((self.gateway, second), (second, self.gateway)):
--- a/walnutquay/coordination/own/chats.py
+++ b/walnutquay/coordination/own/chats.py
@@ -99,7 +99,7 @@
             self.planner.doubts(),
         )
 
-    def go_elsewhere(self, turn: ChatTurn, refusal: Refusal) -> bool:
+    def retarget(self, turn: ChatTurn, refusal: Refusal) -> bool:
         """Go on to the next version where the present one cannot be had.
 
         A session that is bound to the present version waits for it instead.
--- a/walnutquay/coordination/requests/crashes.py
+++ b/walnutquay/coordination/requests/crashes.py
@@ -61,7 +61,7 @@
         self.tasks = Tasks()
         # Tries that are under way, shared by all requests that broke there.
         self.tries: dict[EndpointName, asyncio.Task[bool]] = {}
-        self.news = CrashExchange(peers, self.book, self.take)
+        self.exchange = CrashExchange(peers, self.book, self.take)
         # Blocked requests that another version is tried with, and until when.
         self.trying: dict[Fingerprint, float] = {}
         # The requests that were blocked when it was last looked.
@@ -73,9 +73,9 @@
 
     def listen(self, dispatcher: Dispatcher) -> None:
         """:param dispatcher: where the other VMs' messages come from."""
-        dispatcher.on(CrashNews, self.news.receive)
-        dispatcher.on(CrashDigest, self.news.compare)
-        dispatcher.on(AskCrashes, self.news.answer)
+        dispatcher.on(CrashNews, self.exchange.receive)
+        dispatcher.on(CrashDigest, self.exchange.compare)
+        dispatcher.on(AskCrashes, self.exchange.answer)
 
     def start(self) -> None:
         """Begin to compare with the other VMs, and to forget."""
@@ -84,7 +84,7 @@
     def close(self) -> None:
         """End all tries, and tell no more."""
         self.tasks.stop()
-        self.news.stop()
+        self.exchange.stop()
 
     # Requests.
 
@@ -199,7 +199,7 @@
         for trace in traces:
             self._note(trace)
 
-    def ended(
+    def record_crash(
         self,
         arrival: Arrival,
         target: CrashTarget,
@@ -229,7 +229,7 @@
         if self.book.is_blocked(arrival.fingerprint(), target):
             await asyncio.sleep(SETTLE_SECONDS)
 
-    def answered(
+    def record_answer(
         self, arrival: Arrival, target: CrashTarget, endpoint: EndpointName
     ) -> None:
         """Note that an endpoint has answered a request whole, and lives.
@@ -246,7 +246,7 @@
         if not self.book.take(trace, monotonic()):
             return
         self._tell_blocked("")
-        self.news.tell(trace)
+        self.exchange.tell(trace)
 
     # The other VMs.
 
@@ -314,7 +314,7 @@
             return
         self.book.expire(monotonic())
         self._tell_blocked("")
-        self.news.tell_digest()
+        self.exchange.tell_digest()
 
 
 def _nothing() -> None:
--- a/walnutquay/coordination/requests/hooks.py
+++ b/walnutquay/coordination/requests/hooks.py
@@ -81,7 +81,7 @@
         """
         return True
 
-    def go_elsewhere(self, turn: Turn, refusal: Refusal) -> bool:
+    def retarget(self, turn: Turn, refusal: Refusal) -> bool:
         """Change the turn's target, where there is another.
 
         :param turn: the request.
--- a/walnutquay/coordination/requests/paths.py
+++ b/walnutquay/coordination/requests/paths.py
@@ -119,7 +119,7 @@
         :raises EndpointError: if it may have, and there is no answer.
         """
 
-    def need_of(self, turn: Turn) -> SlotRequest:
+    def slot_request(self, turn: Turn) -> SlotRequest:
         """:param turn: the request.
 
         :returns: what it needs a place for now.
@@ -155,7 +155,7 @@
         ran = _seconds_since(grant.began)
         target = grant.target_of(turn.target)
         held = monotonic() - grant.started
-        self.parts.crashes.ended(turn.arrival, target, grant.name, ran, held)
+        self.parts.crashes.record_crash(turn.arrival, target, grant.name, ran, held)
 
     def on_whole_answer(self, turn: Turn, grant: Grant) -> None:
         """Note that an endpoint has answered a request whole.
@@ -164,7 +164,7 @@
         :param grant: the endpoint.
         """
         target = grant.target_of(turn.target)
-        self.parts.crashes.answered(turn.arrival, target, grant.name)
+        self.parts.crashes.record_answer(turn.arrival, target, grant.name)
 
     # Places and dispatches.
 
@@ -177,7 +177,7 @@
         while True:
             placed = await self._place(turn)
             if placed.is_error():
-                if self.go_elsewhere(turn, placed.error):
+                if self.retarget(turn, placed.error):
                     continue
                 return await self.no_slot(turn, stage, placed.error)
             grant = placed.ok
@@ -215,7 +215,7 @@
 
     async def _place(self, turn: Turn) -> Result[Grant, Refusal]:
         """Get a place, and check that the request may still run."""
-        placed = await self.parts.admission.acquire(self.need_of(turn))
+        placed = await self.parts.admission.acquire(self.slot_request(turn))
         if placed.is_error():
             return placed
         refusal = self.no_longer_allowed(turn) or self._blocked(turn, placed.ok)
--- a/walnutquay/coordination/routed/path.py
+++ b/walnutquay/coordination/routed/path.py
@@ -139,7 +139,7 @@
             return True
         return self.budgets.of(turn.service).take()
 
-    def need_of(self, turn: RoutedTurn) -> SlotRequest:
+    def slot_request(self, turn: RoutedTurn) -> SlotRequest:
         """:param turn: the request.
 
         :returns: what it needs a place for now.
@@ -147,7 +147,7 @@
         arrival = turn.arrival
         turn.choice = self.versions.version_for(turn)
         return replace(
-            super().need_of(turn),
+            super().slot_request(turn),
             version=turn.choice.version if turn.choice is not None else "",
             work=turn.work,
             aim=arrival.route.objective_seconds,
