--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -134,21 +134,21 @@
     Mutation(
         "ends of endpoints: a request that ends them is kept from the others",
         "coordination/requests/paths.py",
-        "refusal = self.no_longer_allowed(turn) or self._blocked(turn, placed.ok)",
+        "refusal = self.no_longer_allowed(turn) or self._blocked(turn, acquired.ok)",
         "refusal = self.no_longer_allowed(turn)",
         "tests.coordination.requests.test_crashes.CrashingRequestTest",
     ),
     Mutation(
         "ends of endpoints: the same for chats",
         "coordination/requests/paths.py",
-        "refusal = self.no_longer_allowed(turn) or self._blocked(turn, placed.ok)",
+        "refusal = self.no_longer_allowed(turn) or self._blocked(turn, acquired.ok)",
         "refusal = self.no_longer_allowed(turn)",
         "tests.processes.test_crashing_chats",
     ),
     Mutation(
         "ends of endpoints: VMs tell each other",
         "coordination/requests/crashnews.py",
-        "self.peers.tell_all(CrashNews(tuple(traces[first : first + TRACES_TOLD])))",
+        "self.peers.tell_all(CrashNews(tuple(traces[first : first + BATCH_SIZE])))",
         "pass",
         "tests.lab.test_crashfleet",
     ),
@@ -162,7 +162,7 @@
     Mutation(
         "ends of endpoints: kept for VMs that start after all were lost",
         "coordination/requests/crashrecord.py",
-        'self.watch.take(decode_traces(stored.value), "the store")',
+        'self.watch.apply_traces(decode_traces(stored.value), "the store")',
         "pass",
         "tests.coordination.requests.test_crashes.LateVmTest.test_all_were_lost",
     ),
@@ -226,7 +226,7 @@
     Mutation(
         "suspended: what was under way ends at its deadline",
         "coordination/requests/limits.py",
-        "limit.reschedule(loop_now + max(0.0, held.arrival.deadline - now))",
+        "limit.reschedule(loop_now + max(0.0, call.arrival.deadline - now))",
         "pass",
         "tests.coordination.requests.test_suspended.RequestTest",
     ),
--- a/tests/coordination/requests/test_crashes.py
+++ b/tests/coordination/requests/test_crashes.py
@@ -139,7 +139,7 @@
         self.assertIn(b'"not_run"', answer.body)
         self.assertNotIn("Retry-After", answer.headers)
         refused = self.events_of(EventKind.REFUSED)
-        self.assertIn("3 endpoints ended as they ran", str(refused[-1]["reason"]))
+        self.assertIn("3 endpoints crashed while running", str(refused[-1]["reason"]))
 
     async def test_operators_see_it(self):
         await self.block()
@@ -246,7 +246,7 @@
     async def test_all_were_lost(self):
         await self.stream(CRASHING)
         record = self.gateway.crash_record
-        await self.until(lambda: record.written)
+        await self.until(lambda: record.write_count)
         await self.close_gateway(self.gateway)
         second = await self.add_gateway("vm-2")
         await self.until(lambda: bool(self.book_of(second).blocked))
--- a/tests/coordination/requests/test_crashnews.py
+++ b/tests/coordination/requests/test_crashnews.py
@@ -51,9 +51,9 @@
         times = [100.0, 100.0 + FIRST_SECONDS, 100.0 + SECOND_SECONDS]
         with (
             mock.patch.object(crashnews, "monotonic", lambda: times.pop(0)),
-            mock.patch.object(crashnews, "AGAIN_SECONDS", 0.0),
+            mock.patch.object(crashnews, "RESEND_SECONDS", 0.0),
         ):
-            exchange.tell(TRACE)
+            exchange.announce(TRACE)
             await asyncio.gather(*exchange.tasks.running)
         ages = [trace.age for news in peers.told for trace in news.traces]
         expected = [TRACE.age + FIRST_SECONDS, TRACE.age + SECOND_SECONDS]
--- a/walnutquay/coordination/requests/__init__.py
+++ b/walnutquay/coordination/requests/__init__.py
@@ -1,7 +1,7 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The path of every request, whichever way it came: stages, places, tries, ends.
+"""The request path shared by all interfaces: stages, slots, attempts and outcomes.
 
-It owns requests under way and what is known of those that end endpoints; it hears of
-such from other VMs, and tells them.
+This package owns the requests in progress and the evidence against requests that crash
+endpoints, which it exchanges with the other VMs.
 """
--- a/walnutquay/coordination/requests/crashes.py
+++ b/walnutquay/coordination/requests/crashes.py
@@ -1,10 +1,10 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Requests that end the endpoints that run them: found by all VMs together.
+"""Detection of requests that crash the endpoints which run them, across all VMs.
 
-Each VM sees only its own requests at an endpoint that ends, and the caller comes again
-to any VM.  So they tell each other at once which requests were there, and each comes
-to the same verdict.
+A VM sees only its own requests at an endpoint that crashes, and the caller may retry
+at any VM.  The VMs therefore broadcast at once which requests were running there, and
+each VM reaches the same conclusion from the same evidence.
 """
 
 from __future__ import annotations
@@ -37,18 +37,18 @@
 
 log = logbook.Logger(__name__)
 
-# News of one end have come from all VMs by then: they try its port and tell within some
-# 10 ms of the break.
+# The traces of one crash have arrived from all VMs by then: each VM probes the port and
+# broadcasts its traces within about 10 ms of the broken connection.
 SETTLE_SECONDS = 0.03
-# VMs compare what they know so often: one that was cut off has it before it is to keep
-# to it, 3 s after its return at the soonest.
+# The interval at which VMs compare digests.  A VM that was partitioned has caught up
+# before it must enforce the blocks, which is 3 s after it is back at the earliest.
 COMPARE_SECONDS = 1.0
 
 
 class CrashWatch:
-    """Finds requests that end endpoints, and keeps the others' endpoints from them.
+    """Detects requests that crash endpoints and blocks them from further endpoints.
 
-    :param context: what this process shares.
+    :param context: the state shared within this process.
     :param peers: the other VMs.
     """
 
@@ -56,42 +56,48 @@
         self.context = context
         self.peers = peers
         self.book = CrashBook()
-        # What broke where nobody could tell whether the endpoint has ended.
-        self.broken = BrokenRequests()
+        # Requests whose connection broke while it was unclear whether the endpoint had
+        # crashed.
+        self.interrupted = BrokenRequests()
         self.tasks = Tasks()
-        # Tries that are under way, shared by all requests that broke there.
-        self.tries: dict[EndpointName, asyncio.Task[bool]] = {}
-        self.exchange = CrashExchange(peers, self.book, self.take)
-        # Blocked requests that another version is tried with, and until when.
-        self.trying: dict[Fingerprint, float] = {}
-        # The requests that were blocked when it was last looked.
+        # Port probes in progress, shared by all requests whose connection broke there.
+        self.probes: dict[EndpointName, asyncio.Task[bool]] = {}
+        self.exchange = CrashExchange(peers, self.book, self.apply_traces)
+        # Blocked requests that are being retested on another version, with the
+        # deadline of the retest.
+        self.retest_until: dict[Fingerprint, float] = {}
+        # The blocked requests as of the last check.
         self.blocked: dict[CrashTarget, frozenset[Fingerprint]] = {}
-        # Called when a request is blocked by what this VM has seen.
-        self.on_blocked: Callable[[], None] = _nothing
-        # Told of requests that have stayed blocked, whichever VM found them.
+        # Called when this VM's own evidence blocks a request.
+        self.on_blocked: Callable[[], None] = _ignore_blocked
+        # Called with requests that stay blocked, whichever VM detected them.
         self.stop_callbacks: list[Callable[[frozenset[Fingerprint]], None]] = []
 
     def listen(self, dispatcher: Dispatcher) -> None:
-        """:param dispatcher: where the other VMs' messages come from."""
+        """Register the handlers for messages of other VMs.
+
+        :param dispatcher: delivers the messages of other VMs.
+        """
         dispatcher.on(CrashNews, self.exchange.receive)
         dispatcher.on(CrashDigest, self.exchange.compare)
         dispatcher.on(AskCrashes, self.exchange.answer)
 
     def start(self) -> None:
-        """Begin to compare with the other VMs, and to forget."""
+        """Start comparing with the other VMs and expiring old evidence."""
         self.context.timers.every("crashes", COMPARE_SECONDS, self._compare)
 
     def close(self) -> None:
-        """End all tries, and tell no more."""
+        """Cancel all probes and stop sending."""
         self.tasks.stop()
         self.exchange.stop()
 
     # Requests.
 
     def suspect_fingerprint(self, arrival: Arrival) -> Fingerprint | None:
-        """:param arrival: a request that looks for a place.
+        """Return the fingerprint of a request under which an endpoint has crashed.
 
-        :returns: its fingerprint, if an endpoint has ended under it.
+        :param arrival: a request that needs a slot.
+        :returns: its fingerprint, or None if it is no suspect.
         """
         if not self.book.ends_of:
             return None
@@ -99,32 +105,33 @@
         return fingerprint if self.book.is_suspect(fingerprint) else None
 
     def refusal(self, arrival: Arrival, target: CrashTarget) -> Refusal | None:
-        """:param arrival: a request that is about to be sent.
+        """Check whether a request is blocked from a version.
 
-        :param target: what would run it.
+        :param arrival: a request that is about to be sent.
+        :param target: the version that would run it.
         :returns: why it must not be sent there, or None.
         """
         if not self.book.blocked:
             return None
         fingerprint = arrival.fingerprint()
-        if not self._is_kept_from(fingerprint, target, arrival.deadline):
+        if not self._is_blocked_for(fingerprint, target, arrival.deadline):
             return None
         ends = self.book.evidence(fingerprint, target.service)
         last = monotonic() - ends[-1].at
         names = ", ".join(end.endpoint for end in ends)
         return Refusal(
             RefusalCode.ENDS_ENDPOINTS,
-            f"{len(ends)} endpoints ended as they ran this request, the last one "
-            f"{last:.1f} s ago; it will not be tried again ({names})",
+            f"{len(ends)} endpoints crashed while running this request, the last one "
+            f"{last:.1f} s ago; it will not be sent again ({names})",
         )
 
-    def _is_kept_from(
+    def _is_blocked_for(
         self, fingerprint: Fingerprint, target: CrashTarget, deadline: float
     ) -> bool:
-        """Tell whether a request is kept from a version; note it if it is not.
+        """Return whether a request is blocked from a version; record a retest if not.
 
-        A version that came after the one which it ended may be better: one VM tries,
-        one request at a time.
+        A version released after the one that crashed may be fixed: a single VM retests
+        it, with one request at a time.
         """
         if self.book.is_blocked(fingerprint, target):
             return True
@@ -133,41 +140,44 @@
         if not self.peers.is_keeper(fingerprint):
             return True
         now = monotonic()
-        if now < self.trying.get(fingerprint, float("-inf")):
+        if now < self.retest_until.get(fingerprint, float("-inf")):
             return True
-        self.trying = {name: end for name, end in self.trying.items() if now < end}
-        self.trying[fingerprint] = deadline
+        self.retest_until = {
+            name: end for name, end in self.retest_until.items() if now < end
+        }
+        self.retest_until[fingerprint] = deadline
         return False
 
-    async def has_ended(self, endpoint: Endpoint | Instance) -> bool:
-        """Try whether nothing listens any more where an endpoint was.
+    async def has_crashed(self, endpoint: Endpoint | Instance) -> bool:
+        """Probe whether the port of an endpoint is closed.
 
-        A connection alone may break on its way, or by the endpoint's choice.
+        A broken connection alone proves nothing: the network or the endpoint itself may
+        have closed it.
 
         :param endpoint: an endpoint whose connection broke.
         """
         name = EndpointName(endpoint.name)
-        trying = self.tries.get(name)
-        if trying is None:
-            trying = self.tries[name] = self.tasks.spawn(self._try(endpoint))
-            trying.add_done_callback(lambda _: self.tries.pop(name, None))
-        return await asyncio.shield(trying)
-
-    async def _try(self, endpoint: Endpoint | Instance) -> bool:
-        ended = await is_refused(endpoint.address)
-        if ended:
-            self._tell_ended(endpoint.name, "its port is closed")
-        return ended
-
-    def _tell_ended(self, name: str, shown_by: str) -> None:
+        probe = self.probes.get(name)
+        if probe is None:
+            probe = self.probes[name] = self.tasks.spawn(self._probe(endpoint))
+            probe.add_done_callback(lambda _: self.probes.pop(name, None))
+        return await asyncio.shield(probe)
+
+    async def _probe(self, endpoint: Endpoint | Instance) -> bool:
+        crashed = await is_refused(endpoint.address)
+        if crashed:
+            self._log_crash(endpoint.name, "its port is closed")
+        return crashed
+
+    def _log_crash(self, name: str, reason: str) -> None:
         self.context.metrics.count("endpoints_ended")
         self.context.timeline.emit(
             EventKind.ENDPOINT_ENDED,
             endpoint=name,
-            detail=f"connections to it broke, and {shown_by}",
+            detail=f"connections to it broke, and {reason}",
         )
 
-    def broke(
+    def record_interruption(
         self,
         arrival: Arrival,
         target: CrashTarget,
@@ -175,29 +185,29 @@
         ran: float | None,
         held: float,
     ) -> None:
-        """Note that a connection broke, and that something listens at its port.
+        """Record a broken connection to an endpoint whose port still accepts some.
 
-        That may be a forwarder's port, or the endpoint was back at once.
+        The port may belong to a forwarder, or the endpoint may have restarted already.
 
         :param arrival: the request.
-        :param target: what the endpoint ran.
+        :param target: the version that the endpoint ran.
         :param endpoint: the endpoint.
-        :param ran: seconds for which its answer had begun; None where none had.
-        :param held: seconds for which the endpoint had it.
+        :param ran: seconds since its answer began; None if it had not begun.
+        :param held: seconds since the request was sent to the endpoint.
         """
         trace = CrashTrace(arrival.fingerprint(), target, endpoint, 0.0, ran, held=held)
-        self.broken.note(Broken(monotonic(), trace))
+        self.interrupted.note(Broken(monotonic(), trace))
 
     def on_endpoint_restarted(self, endpoint: EndpointName) -> None:
-        """Take what broke there lately for broken by the endpoint's end.
+        """Attribute recently broken connections to a crash of the endpoint.
 
-        :param endpoint: an endpoint of which another start has become known.
+        :param endpoint: an endpoint that is now known to have started again.
         """
-        traces = self.broken.ended(endpoint, monotonic())
+        traces = self.interrupted.ended(endpoint, monotonic())
         if traces:
-            self._tell_ended(endpoint, "it has started again")
+            self._log_crash(endpoint, "it has started again")
         for trace in traces:
-            self._note(trace)
+            self._record(trace)
 
     def record_crash(
         self,
@@ -207,24 +217,25 @@
         ran: float | None,
         held: float,
     ) -> None:
-        """Note that an endpoint has ended that had a request.
+        """Record that an endpoint crashed while it had a request.
 
         :param arrival: the request.
-        :param target: what the endpoint ran.
+        :param target: the version that the endpoint ran.
         :param endpoint: the endpoint.
-        :param ran: seconds for which its answer had begun; None where none had.
-        :param held: seconds for which the endpoint had it.
+        :param ran: seconds since its answer began; None if it had not begun.
+        :param held: seconds since the request was sent to the endpoint.
         """
         fingerprint = arrival.fingerprint()
-        self._note(CrashTrace(fingerprint, target, endpoint, 0.0, ran, held=held))
+        self._record(CrashTrace(fingerprint, target, endpoint, 0.0, ran, held=held))
 
     async def await_peer_traces(self, arrival: Arrival, target: CrashTarget) -> None:
-        """Wait for the other VMs' news of an end that makes a request seem guilty.
+        """Wait for the traces of other VMs if a crash has blocked a request.
 
-        What was beside the guilty one at another VM looks guilty until they have come.
+        A request that only ran beside the crashing one of another VM looks like the
+        cause until that VM's traces arrive.
 
-        :param arrival: a request that was at an endpoint that has just ended.
-        :param target: what the endpoint ran.
+        :param arrival: a request that was at an endpoint that has just crashed.
+        :param target: the version that the endpoint ran.
         """
         if self.book.is_blocked(arrival.fingerprint(), target):
             await asyncio.sleep(SETTLE_SECONDS)
@@ -232,67 +243,69 @@
     def record_answer(
         self, arrival: Arrival, target: CrashTarget, endpoint: EndpointName
     ) -> None:
-        """Note that an endpoint has answered a request whole, and lives.
+        """Record that an endpoint answered a request completely and is still up.
 
         :param arrival: the request.
-        :param target: what the endpoint runs.
+        :param target: the version that the endpoint runs.
         :param endpoint: the endpoint.
         """
         fingerprint = self.suspect_fingerprint(arrival)
         if fingerprint is not None:
-            self._note(CrashTrace(fingerprint, target, endpoint, 0.0, answered=True))
+            self._record(CrashTrace(fingerprint, target, endpoint, 0.0, answered=True))
 
-    def _note(self, trace: CrashTrace) -> None:
+    def _record(self, trace: CrashTrace) -> None:
         if not self.book.take(trace, monotonic()):
             return
-        self._tell_blocked("")
-        self.exchange.tell(trace)
+        self._log_block_changes("")
+        self.exchange.announce(trace)
 
-    # The other VMs.
+    # Exchange with the other VMs.
 
-    def take(self, traces: Sequence[CrashTrace], vm: str) -> None:
-        """Take in what another VM has noted.
+    def apply_traces(self, traces: Sequence[CrashTrace], vm: str) -> None:
+        """Apply the traces that another VM recorded.
 
-        :param traces: it.
-        :param vm: who tells.
+        :param traces: the traces.
+        :param vm: the VM that sent them.
         """
         now = monotonic()
         for trace in traces:
             self.book.take(trace, now)
-        self._tell_blocked(vm)
+        self._log_block_changes(vm)
 
     def blocked_traces(self) -> list[CrashTrace]:
-        """:returns: what is known of blocked requests."""
+        """:returns: the traces of all blocked requests."""
         return list(self.book.blocked_traces(monotonic()))
 
-    def _tell_blocked(self, told_by: str) -> None:
-        """Tell in the log which requests are blocked now, or free again.
+    def _log_block_changes(self, source: str) -> None:
+        """Log which requests have become blocked or free since the last call.
 
-        :param told_by: the VM whose news it follows from; empty for this one.
+        :param source: the VM whose traces caused the changes; empty for this one.
         """
         before, self.blocked = self.blocked, dict(self.book.blocked)
         for target in {**before, **self.blocked}:
             old = before.get(target, frozenset())
             new = self.blocked.get(target, frozenset())
             for fingerprint in sorted(old ^ new):
-                self._emit(fingerprint, target, fingerprint in new, told_by)
-            if new - old and not told_by:
+                self._emit(fingerprint, target, fingerprint in new, source)
+            if new - old and not source:
                 self.on_blocked()
             if new - old:
-                self.tasks.spawn(self._stop(target, new - old))
+                self.tasks.spawn(self._stop_requests(target, new - old))
 
-    async def _stop(self, target: CrashTarget, found: frozenset[Fingerprint]) -> None:
-        """End the tries of blocked requests that endpoints have yet, here.
+    async def _stop_requests(
+        self, target: CrashTarget, found: frozenset[Fingerprint]
+    ) -> None:
+        """Cancel this VM's attempts of blocked requests that are still at endpoints.
 
-        Each of them would end one more endpoint.
+        Each of them would crash another endpoint.
         """
         await asyncio.sleep(SETTLE_SECONDS)
         still = found & self.book.blocked.get(target, frozenset())
-        for stopper in self.stop_callbacks:
-            stopper(still)
+        for callback in self.stop_callbacks:
+            callback(still)
 
     def _emit(
-        self, fingerprint: Fingerprint, target: CrashTarget, blocked: bool, told_by: str
+        self, fingerprint: Fingerprint, target: CrashTarget, blocked: bool, source: str
     ) -> None:
         now = monotonic()
         ends = self.book.evidence(fingerprint, target.service)
@@ -305,17 +318,17 @@
             runs=target.version,
             ends=len(ends),
             ends_age_ms=round((now - ends[-1].at) * 1000.0) if ends else None,
-            told_by=told_by,
+            told_by=source,
         )
 
     def _compare(self) -> None:
-        """Forget what is too old, and let other VMs see whether they know the same."""
+        """Expire old evidence and send a digest of the rest to other VMs."""
         if not self.book.ends and not self.book.answered:
             return
         self.book.expire(monotonic())
-        self._tell_blocked("")
-        self.exchange.tell_digest()
+        self._log_block_changes("")
+        self.exchange.send_digest()
 
 
-def _nothing() -> None:
-    """Keep nothing: what is blocked is known to the VMs alone."""
+def _ignore_blocked() -> None:
+    """Do nothing: without a callback, only the memory of the VMs holds the blocks."""
--- a/walnutquay/coordination/requests/crashnews.py
+++ b/walnutquay/coordination/requests/crashnews.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What VMs tell each other of endpoints that ended, and of the requests there."""
+"""Exchange of crash traces between VMs: endpoint crashes and the requests there."""
 
 from __future__ import annotations
 
@@ -26,124 +26,135 @@
 
 log = logbook.Logger(__name__)
 
-# What breaks together is told together: the requests of one end break within some ms.
-GATHER_SECONDS = 0.004
-# News are told once more, for a datagram may be lost.
-AGAIN_SECONDS = 0.2
-# Traces in one datagram: some 100 bytes each, so that it fits one packet.
-TRACES_TOLD = 12
-ASK_SECONDS = 0.4
+# Traces are collected for this long and sent together: the requests of one crash break
+# within a few milliseconds.
+BATCH_SECONDS = 0.004
+# Each batch is sent a second time after this delay, since a datagram may be lost.
+RESEND_SECONDS = 0.2
+# Traces per datagram: each takes about 100 bytes, so that a datagram fits one packet.
+BATCH_SIZE = 12
+QUERY_SECONDS = 0.4
 
-# Takes in what another VM has noted: the traces, and its name.
-Taker = Callable[[Sequence[CrashTrace], str], None]
+# Applies traces that another VM recorded; takes the traces and the name of the VM.
+ApplyTraces = Callable[[Sequence[CrashTrace], str], None]
 
 
 class Peers(Protocol):
     """The other entry VMs."""
 
     def tell_all(self, body: Message) -> None:
-        """:param body: a message to all of them; it may be lost."""
+        """Send a message to all VMs; it may be lost.
+
+        :param body: the message.
+        """
 
     def tell(self, body: Message) -> None:
-        """:param body: a message to some of them; it may be lost."""
+        """Send a message to some of the VMs; it may be lost.
+
+        :param body: the message.
+        """
 
     def is_keeper(self, key: str) -> bool:
-        """:param key: a name.
+        """Return whether this VM is the one responsible for a key.
 
-        :returns: whether this VM, of all, does what is done once for it.
+        :param key: the key of a task that exactly one VM performs.
         """
 
     async def call(self, name: str, body: Message, timeout: float) -> Message:
-        """:param name: one of them.
+        """Send a request to a VM and wait for the response.
 
-        :param body: a question.
+        :param name: the VM.
+        :param body: the request.
         :param timeout: seconds to wait.
-        :returns: its answer.
-        :raises PeerError: if none comes.
+        :returns: the response.
+        :raises PeerError: if no response arrives in time.
         """
 
 
 class CrashExchange:
-    """Tells the other VMs what was noted here, and takes in what they have noted.
+    """Broadcasts the traces recorded here and applies those of other VMs.
 
     :param peers: the other VMs.
-    :param book: what is known here.
-    :param take: takes in what another VM has noted.
+    :param book: the traces that this VM holds.
+    :param apply_traces: applies traces that another VM recorded.
     """
 
-    def __init__(self, peers: Peers, book: CrashBook, take: Taker) -> None:
+    def __init__(
+        self, peers: Peers, book: CrashBook, apply_traces: ApplyTraces
+    ) -> None:
         self.peers = peers
         self.book = book
-        self.take = take
+        self.apply_traces = apply_traces
         self.tasks = Tasks()
-        # What is to be told with the next news, and when it was noted.
-        self.untold: list[tuple[float, CrashTrace]] = []
-        # The VM that is asked what it knows, if one is.
-        self.asking: asyncio.Task | None = None
+        # Traces for the next batch, with the time at which each was recorded.
+        self.unsent: list[tuple[float, CrashTrace]] = []
+        # The query to another VM, if one has been started.
+        self.query: asyncio.Task | None = None
 
     def stop(self) -> None:
-        """Tell and ask no more."""
+        """Stop sending and querying."""
         self.tasks.stop()
 
-    def tell(self, trace: CrashTrace) -> None:
-        """Tell all VMs what has been noted, with what is noted at the same time.
+    def announce(self, trace: CrashTrace) -> None:
+        """Broadcast a trace, batched with those recorded at the same time.
 
-        :param trace: it.
+        :param trace: the trace.
         """
-        if not self.untold:
-            self.tasks.spawn(self._tell())
-        self.untold.append((monotonic(), trace))
+        if not self.unsent:
+            self.tasks.spawn(self._send_batch())
+        self.unsent.append((monotonic(), trace))
 
-    def tell_digest(self) -> None:
-        """Let some other VMs see whether they know the same."""
+    def send_digest(self) -> None:
+        """Send a digest of the traces to some other VMs, to be compared with theirs."""
         self.peers.tell(CrashDigest(self.book.digest()))
 
-    async def _tell(self) -> None:
-        """Tell all VMs what has been noted, twice."""
-        await asyncio.sleep(GATHER_SECONDS)
-        told, self.untold = self.untold, []
-        self._send(told)
-        await asyncio.sleep(AGAIN_SECONDS)
-        self._send(told)
+    async def _send_batch(self) -> None:
+        """Broadcast the unsent traces twice."""
+        await asyncio.sleep(BATCH_SECONDS)
+        batch, self.unsent = self.unsent, []
+        self._send(batch)
+        await asyncio.sleep(RESEND_SECONDS)
+        self._send(batch)
 
-    def _send(self, told: Sequence[tuple[float, CrashTrace]]) -> None:
+    def _send(self, batch: Sequence[tuple[float, CrashTrace]]) -> None:
         now = monotonic()
-        traces = [replace(trace, age=trace.age + now - noted) for noted, trace in told]
-        for first in range(0, len(traces), TRACES_TOLD):
-            self.peers.tell_all(CrashNews(tuple(traces[first : first + TRACES_TOLD])))
+        traces = [replace(trace, age=trace.age + now - noted) for noted, trace in batch]
+        for first in range(0, len(traces), BATCH_SIZE):
+            self.peers.tell_all(CrashNews(tuple(traces[first : first + BATCH_SIZE])))
 
     def receive(self, envelope: Envelope) -> None:
-        """Take in what another VM has noted.
+        """Apply the traces that another VM broadcast.
 
         :param envelope: its message.
         """
         assert isinstance(envelope.body, CrashNews)
-        self.take(envelope.body.traces, envelope.vm)
+        self.apply_traces(envelope.body.traces, envelope.vm)
 
     def compare(self, envelope: Envelope) -> None:
-        """Ask a VM what it knows, if that is not what this one knows.
+        """Query a VM for its traces if its digest differs from that of this VM.
 
-        :param envelope: what stands for its knowledge.
+        :param envelope: the message with the digest.
         """
         body = envelope.body
         assert isinstance(body, CrashDigest)
         if body.digest == self.book.digest():
             return
-        if self.asking is None or self.asking.done():
-            self.asking = self.tasks.spawn(self._ask(envelope.vm))
+        if self.query is None or self.query.done():
+            self.query = self.tasks.spawn(self._query_peer(envelope.vm))
 
-    async def _ask(self, vm: str) -> None:
+    async def _query_peer(self, vm: str) -> None:
         try:
-            answer = await self.peers.call(vm, AskCrashes(), ASK_SECONDS)
+            answer = await self.peers.call(vm, AskCrashes(), QUERY_SECONDS)
         except PeerError as error:
-            log.debug("{} does not tell of crashes: {}", vm, error)
+            log.debug("{} did not answer the query for crash traces: {}", vm, error)
             return
         if isinstance(answer, CrashNews):
-            self.take(answer.traces, vm)
+            self.apply_traces(answer.traces, vm)
 
     def answer(self, envelope: Envelope) -> CrashNews:
-        """:param envelope: another VM's question.
+        """Answer another VM's query.
 
-        :returns: all that is known here.
+        :param envelope: the query.
+        :returns: all traces that this VM holds.
         """
         return CrashNews(tuple(self.book.traces(monotonic())))
--- a/walnutquay/coordination/requests/crashrecord.py
+++ b/walnutquay/coordination/requests/crashrecord.py
@@ -1,9 +1,9 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What is known of blocked requests, kept in the platform's store.
+"""Storage of the evidence against blocked requests in the platform's store.
 
-VMs keep nothing, and all may be lost at once: without it the request would end three
-endpoints again each time.
+VMs have no persistent state, and all of them may be lost at once.  Without this record
+a blocked request would crash three endpoints again after each such loss.
 """
 
 from __future__ import annotations
@@ -40,24 +40,26 @@
     """Values in the platform's store."""
 
     async def read(self, name: str) -> Stored:
-        """:param name: a value's name.
+        """Read a value.
 
-        :returns: it, or version 0 where there is none.
+        :param name: its name.
+        :returns: the value; version 0 if it does not exist.
         """
 
     async def write(self, name: str, value: bytes, expected: int) -> int:
-        """:param name: a value's name.
+        """Replace a value if it still has the expected version.
 
-        :param value: its new JSON.
-        :param expected: the version that it must have; 0 to make it.
+        :param name: its name.
+        :param value: the new value, as JSON.
+        :param expected: the version that it must have; 0 to create it.
         :returns: its new version.
         """
 
 
 class CrashRecord:
-    """Keeps the evidence against blocked requests for VMs that start.
+    """Stores the evidence against blocked requests for VMs that start later.
 
-    :param watch: finds the requests.
+    :param watch: detects the requests.
     :param values: the platform's store.
     """
 
@@ -65,53 +67,53 @@
         self.watch = watch
         self.values = values
         self.tasks = Tasks()
-        # Whether a write is due, and the task that makes it.
-        self.due = asyncio.Event()
-        # How often it was written.
-        self.written = 0
-        watch.on_blocked = self.due.set
+        # Set when a write is due.
+        self.write_due = asyncio.Event()
+        # The number of writes so far.
+        self.write_count = 0
+        watch.on_blocked = self.write_due.set
 
-    def start(self, to_be_read: Callable[[], Awaitable[bool]]) -> None:
-        """Begin to write what is found.
+    def start(self, needs_read: Callable[[], Awaitable[bool]]) -> None:
+        """Start writing the evidence that is found.
 
-        :param to_be_read: tells whether the record is to be read first; a VM that was
-            told by another one needs no call of the store.
+        :param needs_read: returns whether to read the record first; a VM that got the
+            traces from another VM needs no call to the store.
         """
-        self.tasks.spawn(self._read_if_needed(to_be_read))
-        self.tasks.forever("record of crashes", self._keep)
+        self.tasks.spawn(self._read_if_needed(needs_read))
+        self.tasks.forever("record of crashes", self._write_when_due)
 
     def stop(self) -> None:
-        """Read and write no more."""
+        """Stop reading and writing."""
         self.tasks.stop()
 
-    async def _read_if_needed(self, to_be_read: Callable[[], Awaitable[bool]]) -> None:
-        if not await to_be_read():
+    async def _read_if_needed(self, needs_read: Callable[[], Awaitable[bool]]) -> None:
+        if not await needs_read():
             return
         while True:
             try:
                 await self._read()
                 return
             except PlatformError as error:
-                log.debug("the record of crashes cannot be read: {}", error)
+                log.debug("cannot read the crash record; retrying: {}", error)
                 await asyncio.sleep(RETRY_SECONDS)
 
     async def _read(self) -> int:
-        """Take in what is stored.
+        """Apply the stored traces.
 
-        :returns: its version.
+        :returns: the version of the record.
         """
         stored = await self.values.read(VALUE)
         if stored.value:
             try:
-                self.watch.take(decode_traces(stored.value), "the store")
+                self.watch.apply_traces(decode_traces(stored.value), "the store")
             except MessageError as error:
-                log.error("the record of crashes is left out: {}", error)
+                log.error("ignoring the invalid crash record: {}", error)
         return stored.version
 
-    async def _keep(self) -> None:
+    async def _write_when_due(self) -> None:
         while True:
-            await self.due.wait()
-            self.due.clear()
+            await self.write_due.wait()
+            self.write_due.clear()
             await self._write()
 
     async def _write(self) -> None:
@@ -120,19 +122,20 @@
                 version = await self._read()
                 traces = self.watch.blocked_traces()[-MAX_ENDS:]
                 await self.values.write(VALUE, encode_traces(traces), version)
-                self.written += 1
+                self.write_count += 1
                 return
             except PlatformConflictError as error:
-                log.debug("another VM wrote the record of crashes: {}", error)
+                log.debug("another VM wrote the crash record; merging again: {}", error)
             except PlatformError as error:
-                log.debug("the record of crashes cannot be written: {}", error)
+                log.debug("cannot write the crash record; retrying: {}", error)
                 await asyncio.sleep(RETRY_SECONDS)
 
 
 def encode_traces(traces: list[CrashTrace]) -> bytes:
-    """:param traces: what is known of blocked requests.
+    """Encode traces for the store.
 
-    :returns: it as JSON, with the time of day instead of ages.
+    :param traces: the traces of blocked requests.
+    :returns: the traces as JSON, with Unix times instead of ages.
     """
     now = unix_microseconds() / MICROSECONDS
     rows = [
@@ -151,15 +154,18 @@
 
 
 def decode_traces(data: bytes) -> list[CrashTrace]:
-    """:param data: what :func:`encode_traces` wrote.
+    """Decode traces from the store.
 
-    :raises MessageError: if it is not that.
+    :param data: the output of :func:`encode_traces`.
+    :raises MessageError: if the data is invalid.
     """
     now = unix_microseconds() / MICROSECONDS
     try:
         return [_trace(row, now) for row in orjson.loads(data)]
     except (orjson.JSONDecodeError, KeyError, TypeError, ValueError) as error:
-        raise MessageError(f"it cannot be read: {error!r}", step="decode") from error
+        raise MessageError(
+            f"not a valid list of crash traces: {error!r}", step="decode"
+        ) from error
 
 
 def _trace(row: dict[str, Any], now: float) -> CrashTrace:
@@ -167,7 +173,7 @@
         Fingerprint(str(row["fingerprint"])),
         CrashTarget(ServiceName(str(row["service"])), VersionName(str(row["version"]))),
         EndpointName(str(row["endpoint"])),
-        # The VM that wrote it may have had a clock that was ahead.
+        # The clock of the VM that wrote it may have been ahead.
         max(0.0, now - float(row["at"])),
         None if row["ran"] is None else float(row["ran"]),
         held=math.inf if row.get("held") is None else float(row["held"]),
--- a/walnutquay/coordination/requests/hooks.py
+++ b/walnutquay/coordination/requests/hooks.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What the paths of different kinds of requests do in their own ways."""
+"""Hooks for the behaviour that differs between kinds of requests."""
 
 from __future__ import annotations
 
@@ -15,77 +15,79 @@
 
 
 class PathHooks(ABC):
-    """Asked and told by the path of a request at each of its steps."""
+    """Hooks that the request path calls at each step of a request."""
 
     @abstractmethod
     def no_longer_allowed(self, turn: Turn) -> Refusal | None:
-        """Ask the configuration of this moment, right before a dispatch.
+        """Check a request against the current configuration right before a dispatch.
 
         :param turn: the request.
-        :returns: why it may not run any more, or None.
+        :returns: why it may no longer run, or None if it may.
         """
 
     @abstractmethod
     def unready(self) -> Refusal | None:
-        """:returns: why this VM knows too little to serve, or None."""
+        """Return why this VM lacks the state to serve requests, or None."""
 
     def facts_received(self, arrival: Arrival) -> Facts:
-        """Tell of a request, for the log; the base has nothing to tell.
+        """Return facts about a request for the log; the base class has none.
 
         :param arrival: the request.
         """
         return {}
 
     def facts_dispatched(self, turn: Turn, grant: Grant) -> Facts:
-        """Tell what made a request go where it goes; the base has nothing to tell.
+        """Return facts on why an endpoint was chosen; the base class has none.
 
         :param turn: the request.
-        :param grant: the endpoint.
+        :param grant: the slot at the endpoint.
         """
         return {}
 
     def facts_state_age(self) -> Facts:
-        """:returns: how old what this VM knows is; nothing in the base."""
+        """Return facts on the age of this VM's state; the base class has none."""
         return {}
 
     def on_dispatch(self, turn: Turn, grant: Grant) -> None:
-        """Note that a request is sent now; the base has nothing to note.
+        """Record that a request is being sent; the base class does nothing.
 
         :param turn: the request.
-        :param grant: the endpoint.
+        :param grant: the slot at the endpoint.
         """
         return
 
     def on_not_started(self, turn: Turn, grant: Grant, error: NotStartedError) -> None:
-        """Note that an endpoint did not begin; the base has nothing to note.
+        """Record that an endpoint did not start a request; the base does nothing.
 
         :param turn: the request.
-        :param grant: the endpoint.
-        :param error: how that is known.
+        :param grant: the slot at the endpoint.
+        :param error: the proof that it did not start.
         """
         return
 
     def on_failed(self, turn: Turn, grant: Grant, error: EndpointError) -> None:
-        """Note that an endpoint failed; the base has nothing more to note.
+        """Record that an endpoint failed; the base class does nothing.
 
         :param turn: the request.
-        :param grant: the endpoint.
+        :param grant: the slot at the endpoint.
         :param error: how it failed.
         """
         return
 
     def is_current(self, grant: Grant) -> bool:
-        """:param grant: an endpoint.
+        """Return whether no later start of an endpoint is known.
 
-        :returns: whether no later start of it is known; the base knows of none.
+        The base class knows of none.
+
+        :param grant: the slot at the endpoint.
         """
         return True
 
     def retarget(self, turn: Turn, refusal: Refusal) -> bool:
-        """Change the turn's target, where there is another.
+        """Switch a request to another target, if there is one.
 
         :param turn: the request.
-        :param refusal: why the present target cannot be had.
-        :returns: whether to look for a place again.
+        :param refusal: why the current target is unavailable.
+        :returns: whether to try to acquire a slot again.
         """
         return False
--- a/walnutquay/coordination/requests/limits.py
+++ b/walnutquay/coordination/requests/limits.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Ends calls that endpoints have, before they end by themselves."""
+"""Early cancellation of calls to endpoints."""
 
 from __future__ import annotations
 
@@ -14,69 +14,71 @@
 from walnutquay.state.process.ids import EndpointName, Fingerprint
 from walnutquay.transport.timers import monotonic
 
-# The step of an error by which a call was ended here.
+# The step of the error raised for a call that was cancelled here.
 STEP_ENDED = "ended"
 
 
 @dataclass(slots=True)
-class Held:
-    """A call that an endpoint has.
+class LimitedCall:
+    """A call in progress at an endpoint.
 
     :param arrival: the request.
-    :param reason: why it is ended, if it is.
+    :param reason: why it is cancelled, if it is.
     """
 
     arrival: Arrival
-    reason: str = "its time passed while this VM was away"
+    reason: str = "its deadline passed while this VM was suspended"
 
 
 class CallLimits:
-    """Ends calls that endpoints have before they end by themselves.
+    """Cancels calls to endpoints before they finish by themselves.
 
-    Calls have time-outs of their own, which stand still while the VM is suspended; so
-    what is left of their time is looked at when it wakes.
+    The timeouts of calls do not advance while the VM is suspended, so the remaining
+    time of each call is computed again when the VM wakes.
     """
 
     def __init__(self) -> None:
-        self.held: dict[asyncio.Timeout, Held] = {}
+        self.calls: dict[asyncio.Timeout, LimitedCall] = {}
 
     @asynccontextmanager
-    async def of(self, arrival: Arrival, endpoint: EndpointName) -> AsyncIterator[None]:
-        """Hold a limit while an endpoint has a request.
+    async def enforce(
+        self, arrival: Arrival, endpoint: EndpointName
+    ) -> AsyncIterator[None]:
+        """Return a context manager in which a call can be cancelled.
 
         :param arrival: the request.
-        :param endpoint: the endpoint, for errors.
-        :raises EndpointError: if the call was ended.
+        :param endpoint: the endpoint, for error messages.
+        :raises EndpointError: if the call was cancelled.
         """
         limit = asyncio.timeout(None)
-        held = self.held[limit] = Held(arrival)
+        call = self.calls[limit] = LimitedCall(arrival)
         try:
             async with limit:
                 yield
         except TimeoutError as error:
             if not limit.expired():
                 raise
-            raise EndpointError(held.reason, step=STEP_ENDED, peer=endpoint) from error
+            raise EndpointError(call.reason, step=STEP_ENDED, peer=endpoint) from error
         finally:
-            del self.held[limit]
+            del self.calls[limit]
 
     def woke(self, away: float) -> None:
-        """Set the limits by what is left of each call's time.
+        """Reset the timeout of each call to the time left until its deadline.
 
-        :param away: seconds for which this VM was away.
+        :param away: seconds for which this VM was suspended.
         """
         now = monotonic()
         loop_now = asyncio.get_running_loop().time()
-        for limit, held in self.held.items():
-            limit.reschedule(loop_now + max(0.0, held.arrival.deadline - now))
+        for limit, call in self.calls.items():
+            limit.reschedule(loop_now + max(0.0, call.arrival.deadline - now))
 
     def stop(self, blocked: frozenset[Fingerprint]) -> None:
-        """End the calls of requests that are blocked.
+        """Cancel the calls of blocked requests.
 
-        :param blocked: their fingerprints.
+        :param blocked: the fingerprints of the requests.
         """
         now = asyncio.get_running_loop().time()
-        for limit, held in self.held.items():
-            if blocked and held.arrival.fingerprint() in blocked:
-                held.reason = "it ends the endpoints that run it"
+        for limit, call in self.calls.items():
+            if blocked and call.arrival.fingerprint() in blocked:
+                call.reason = "it crashes the endpoints that run it"
                 limit.reschedule(now)
--- a/walnutquay/coordination/requests/outcomelog.py
+++ b/walnutquay/coordination/requests/outcomelog.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Counts and logs how requests end."""
+"""Metrics and log lines for the outcomes of requests."""
 
 from __future__ import annotations
 
@@ -17,20 +17,24 @@
 from walnutquay.transport.timers import monotonic
 
 MILLISECONDS = 1000.0
-# The status of a stream that went to the caller whole.
+# The status of a stream that was sent to the caller completely.
 OK = 200
 
 
-def tell_outcome(
-    context: Context, arrival: Arrival, outcome: Outcome, seconds: float, known: Facts
+def log_outcome(
+    context: Context,
+    arrival: Arrival,
+    outcome: Outcome,
+    seconds: float,
+    state_age: Facts,
 ) -> None:
-    """Count and log how a request ended.
+    """Count and log the outcome of a request.
 
-    :param context: what this process shares.
+    :param context: the state shared within this process.
     :param arrival: the request.
-    :param outcome: how.
-    :param seconds: since it came.
-    :param known: how old what this VM knows is.
+    :param outcome: its outcome.
+    :param seconds: the time since it was received.
+    :param state_age: facts on the age of this VM's state.
     """
     request = arrival.request
     took_ms = round(seconds * MILLISECONDS)
@@ -46,7 +50,7 @@
             reason=refusal.reason,
             retry_after=refusal.retry_after,
             took_ms=took_ms,
-            **known,
+            **state_age,
         )
     elif isinstance(outcome, Unknown):
         metrics.count(f"unknown_{outcome.code}")
@@ -56,7 +60,7 @@
             detail=outcome.code,
             reason=outcome.reason,
             took_ms=took_ms,
-            **known,
+            **state_age,
         )
     elif isinstance(outcome, Streamed) and not outcome.whole:
         metrics.count("broken")
--- a/walnutquay/coordination/requests/outcomes.py
+++ b/walnutquay/coordination/requests/outcomes.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What the request paths take from callers' handlers, and give back."""
+"""The requests that callers' handlers pass to the request paths, and the outcomes."""
 
 from __future__ import annotations
 
@@ -15,40 +15,41 @@
 from walnutquay.state.requests.stages import NotRun, OutcomeUnknown
 from walnutquay.state.store.parts import Organisation, Service
 
-# Digits of a fingerprint that are kept and told: 128 bits, which nobody can make meet.
+# Hexadecimal digits of a fingerprint that are kept and sent: 128 bits, for which nobody
+# can construct a collision.
 FINGERPRINT_DIGITS = 32
 
 
 class Reply(Protocol):
-    """The way back to the caller of a streamed answer."""
+    """The channel on which a streamed answer is sent to the caller."""
 
     async def begin(self, headers: Mapping[str, str]) -> None:
         """Send the status and the headers.
 
-        :param headers: who serves it.
+        :param headers: response headers that identify what serves the request.
         """
 
     async def write(self, data: bytes) -> None:
-        """Send a piece of the body.
+        """Send a chunk of the body.
 
-        :param data: the piece.
+        :param data: the chunk.
         """
 
 
 @dataclass(slots=True)
 class Arrival:
-    """A request as it came, its caller known.
+    """A request as received from an authenticated caller.
 
-    :param request: its id.
-    :param organisation: whose it is.
-    :param body: its bytes.
+    :param request: the request id.
+    :param organisation: the organisation of the caller.
+    :param body: the body.
     :param deadline: when the answer is due; monotonic seconds.
     :param key: the caller's idempotency key; empty if none.
     :param request_class: the caller's class of request.
-    :param longest_pause: the longest time between two events that went to the
-        caller; seconds.
-    :param first_event_at: when the first of them went there; monotonic seconds.
-    :param passed_at: when the last of them went there; monotonic seconds.
+    :param longest_pause: the longest time between two events sent to the caller;
+        seconds.
+    :param first_event_at: when the first event was sent; monotonic seconds.
+    :param last_event_at: when the latest event was sent; monotonic seconds.
     """
 
     request: RequestId
@@ -59,36 +60,38 @@
     request_class: str = "default"
     longest_pause: float = 0.0
     first_event_at: float | None = None
-    passed_at: float | None = None
+    last_event_at: float | None = None
 
     def identity(self) -> tuple[bytes, ...]:
-        """:returns: what tells this request from another under the same key."""
+        """Return what distinguishes requests that have the same idempotency key."""
         return (self.body,)
 
     def fingerprint(self) -> Fingerprint:
-        """:returns: what tells this request from others, the same for all its tries.
+        """Return a hash that identifies this request across all its attempts.
 
-        Its caller is part of it: nobody can have it in common with another's.
+        It covers the caller, so that no caller can send a request with the fingerprint
+        of another caller's request.
         """
         caller = self.organisation.name.encode()
         return Fingerprint(fingerprint(caller, *self.identity())[:FINGERPRINT_DIGITS])
 
     def note_relayed(self, now: float) -> None:
-        """Note that events go to the caller.
+        """Record that events are being sent to the caller.
 
         :param now: monotonic seconds.
         """
-        if self.passed_at is None:
+        if self.last_event_at is None:
             self.first_event_at = now
         else:
-            self.longest_pause = max(self.longest_pause, now - self.passed_at)
-        self.passed_at = now
+            self.longest_pause = max(self.longest_pause, now - self.last_event_at)
+        self.last_event_at = now
 
     def is_late(self, now: float) -> bool:
-        """Tell whether an answer that is whole now comes too late to be of full use.
+        """Return whether an answer completed now misses its latency objective.
+
+        The base class has no objective.
 
         :param now: monotonic seconds.
-        :returns: the base knows of no objective.
         """
         return False
 
@@ -100,7 +103,7 @@
     :param call: the parsed body.
     :param session: the session id that the caller sent; empty if none.
     :param token: the session token that the caller sent; empty if none.
-    :param reply: the way back, for a stream.
+    :param reply: the channel to the caller, for a stream.
     """
 
     call: ChatCall = field(kw_only=True)
@@ -115,8 +118,8 @@
 
     :param service: the service.
     :param method: the HTTP method.
-    :param path: path and query behind the service's name.
-    :param headers: the headers to pass on.
+    :param path: path and query after the service's name.
+    :param headers: the headers to forward.
     """
 
     service: Service = field(kw_only=True)
@@ -125,16 +128,16 @@
     headers: dict[str, str] = field(default_factory=dict)
 
     def identity(self) -> tuple[bytes, ...]:
-        """:returns: what tells this request from another under the same key."""
+        """Return what distinguishes requests that have the same idempotency key."""
         return (self.method.encode(), self.path.encode(), self.body)
 
 
 @dataclass(frozen=True, slots=True)
 class Whole:
-    """The whole answer.
+    """A complete answer that has yet to be sent to the caller.
 
-    :param answer: it.
-    :param replayed: whether an earlier request under the same key got it.
+    :param answer: the answer.
+    :param replayed: whether it was given to an earlier request with the same key.
     """
 
     answer: WholeAnswer
@@ -143,9 +146,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Streamed:
-    """The answer has gone to the caller already.
+    """An answer that has already been streamed to the caller.
 
-    :param whole: whether its end mark was sent.
+    :param whole: whether its end marker was sent.
     """
 
     whole: bool
@@ -153,9 +156,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The request was not run.
+    """A request that was not run.
 
-    :param proof: the stage that says so; it cannot be had after a dispatch.
+    :param proof: the stage that proves it; it cannot be reached after a dispatch.
     """
 
     proof: NotRun
@@ -163,13 +166,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """What became of the request cannot be told.
+    """A request of which it is unknown whether it was run.
 
-    :param stage: the stage that says so.
-    :param reason: why, for people.
+    :param stage: the stage that states it.
+    :param reason: why, in human-readable form.
     :param code: the code for the caller.
     :param status: HTTP status.
-    :param retry_after: seconds after which asking again may help.
+    :param retry_after: seconds after which a retry may succeed.
     """
 
     stage: OutcomeUnknown
--- a/walnutquay/coordination/requests/pathparts.py
+++ b/walnutquay/coordination/requests/pathparts.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The parts that the path of every request works with."""
+"""The components shared by all request paths."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 @dataclass
 class PathParts:
-    """The parts that the path of every request works with.
-
-    :param context: what this process shares.
-    :param admission: places at endpoints.
-    :param table: what is known of endpoints.
-    :param retries: the budget that retries draw on.
-    :param recorder: records traces, while asked to.
-    :param crashes: endpoints that end while they run requests.
-    :param failures: requests that endpoints answer with a failure.
+    """The components shared by all request paths.
+
+    :param context: the state shared within this process.
+    :param admission: allocates slots at endpoints.
+    :param table: the known state of endpoints.
+    :param retries: the budget for retries.
+    :param recorder: records traces while a recording is active.
+    :param crashes: detects requests that crash endpoints.
+    :param failures: tracks requests that endpoints answer with an error.
     """
 
     context: Context
--- a/walnutquay/coordination/requests/paths.py
+++ b/walnutquay/coordination/requests/paths.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What the paths of all requests have in common, whichever way they came."""
+"""The request path common to all interfaces."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from walnutquay.coordination.requests.hooks import PathHooks
 from walnutquay.coordination.requests.limits import CallLimits
-from walnutquay.coordination.requests.outcomelog import tell_outcome
+from walnutquay.coordination.requests.outcomelog import log_outcome
 from walnutquay.coordination.requests.outcomes import (
     Arrival,
     Outcome,
@@ -41,25 +41,26 @@
 
 
 class RequestPath(PathHooks):
-    """Takes a request from its arrival to its outcome.
+    """Processes a request from its arrival to its outcome.
 
-    Subclasses plan the request in :meth:`run`, and in :meth:`exchange` talk to
-    the endpoint; places, retries, refusals and their events are the same for all.
+    Subclasses plan the request in :meth:`run` and communicate with the endpoint in
+    :meth:`exchange`.  Slots, retries, refusals and their events are the same for all.
 
-    :param parts: what it works with.
+    :param parts: the shared components.
     """
 
     def __init__(self, parts: PathParts) -> None:
         self.parts = parts
         self.context = parts.context
-        # Requests between arrival and outcome; a planned stop waits for them.
+        # The number of requests between arrival and outcome; a planned stop waits for
+        # them.
         self.in_flight = 0
-        # The same, one by one: operators ask whose work waits.
+        # The same requests by id: operators query which organisations are waiting.
         self.under_way: dict[RequestId, Arrival] = {}
-        # The limits of those that an endpoint has.
+        # Limits on the calls in progress at endpoints.
         self.limits = CallLimits()
         parts.crashes.stop_callbacks.append(self.limits.stop)
-        # Set when the VM is stopping and takes no new requests.
+        # Set when the VM is stopping and accepts no new requests.
         self.closed = False
 
     async def serve(self, arrival: Arrival) -> Outcome:
@@ -78,7 +79,7 @@
             )
             outcome = await self.begin(arrival)
             facts = self.facts_state_age()
-            tell_outcome(self.context, arrival, outcome, monotonic() - started, facts)
+            log_outcome(self.context, arrival, outcome, monotonic() - started, facts)
             return outcome
         finally:
             self.in_flight -= 1
@@ -87,14 +88,14 @@
             self.context.metrics.record("request", monotonic() - started)
 
     async def begin(self, arrival: Arrival) -> Outcome:
-        """Run a request, unless this VM takes none now.
+        """Run a request, or refuse it if this VM accepts none at present.
 
         :param arrival: the request.
         """
         stage = receive(arrival.request)
-        not_accepting = self.not_accepting()
-        if not_accepting is not None:
-            return self.refuse(stage, not_accepting)
+        refusal = self.not_accepting()
+        if refusal is not None:
+            return self.refuse(stage, refusal)
         return await self.run(arrival, stage)
 
     @abstractmethod
@@ -109,20 +110,20 @@
     async def exchange(
         self, turn: Turn, running: Dispatched, grant: Grant
     ) -> Outcome | Received | Continuing:
-        """Talk to an endpoint.
+        """Exchange a request and its answer with an endpoint.
 
         :param turn: the request.
         :param running: its stage.
         :param grant: the endpoint.
-        :returns: the outcome, or the stage to go on from with another try.
-        :raises NotStartedError: if the endpoint cannot have begun.
-        :raises EndpointError: if it may have, and there is no answer.
+        :returns: the outcome, or the stage from which another attempt continues.
+        :raises NotStartedError: if the endpoint cannot have started the request.
+        :raises EndpointError: if it may have started it, and there is no answer.
         """
 
     def slot_request(self, turn: Turn) -> SlotRequest:
-        """:param turn: the request.
+        """Return the properties for which a request needs a slot now.
 
-        :returns: what it needs a place for now.
+        :param turn: the request.
         """
         arrival = turn.arrival
         return SlotRequest(
@@ -140,17 +141,17 @@
         )
 
     def may_retry(self, turn: Turn) -> bool:
-        """Ask whether a request may be sent once more; what is granted is counted.
+        """Return whether a request may be retried, and charge the retry budget.
 
         :param turn: the request.
         """
         return self.parts.retries.take()
 
     def on_crashed(self, turn: Turn, grant: Grant) -> None:
-        """Note that an endpoint has ended while it had a request.
+        """Record that an endpoint crashed while it had a request.
 
         :param turn: the request.
-        :param grant: the endpoint.
+        :param grant: the slot at the endpoint.
         """
         ran = _seconds_since(grant.began)
         target = grant.target_of(turn.target)
@@ -158,29 +159,29 @@
         self.parts.crashes.record_crash(turn.arrival, target, grant.name, ran, held)
 
     def on_whole_answer(self, turn: Turn, grant: Grant) -> None:
-        """Note that an endpoint has answered a request whole.
+        """Record that an endpoint answered a request completely.
 
         :param turn: the request.
-        :param grant: the endpoint.
+        :param grant: the slot at the endpoint.
         """
         target = grant.target_of(turn.target)
         self.parts.crashes.record_answer(turn.arrival, target, grant.name)
 
-    # Places and dispatches.
+    # Slots and dispatches.
 
     async def attempts(self, turn: Turn, stage: Received | Continuing) -> Outcome:
-        """Try endpoints until there is an outcome.
+        """Send a request to endpoints until it has an outcome.
 
         :param turn: the request.
         :param stage: its stage.
         """
         while True:
-            placed = await self._place(turn)
-            if placed.is_error():
-                if self.retarget(turn, placed.error):
+            acquired = await self._acquire_slot(turn)
+            if acquired.is_error():
+                if self.retarget(turn, acquired.error):
                     continue
-                return await self.no_slot(turn, stage, placed.error)
-            grant = placed.ok
+                return await self.no_slot(turn, stage, acquired.error)
+            grant = acquired.ok
             ready = stage.admit() if isinstance(stage, Received) else stage
             running = self._dispatch(turn, ready, grant)
             try:
@@ -196,11 +197,11 @@
     async def no_slot(
         self, turn: Turn, stage: Received | Continuing, refusal: Refusal
     ) -> Outcome:
-        """End a request for which there is no place.
+        """Return the outcome of a request that got no slot.
 
         :param turn: the request.
         :param stage: its stage.
-        :param refusal: why.
+        :param refusal: why there is no slot.
         """
         if isinstance(stage, Received):
             return self.refuse(stage, refusal)
@@ -209,25 +210,26 @@
             return Unknown(stage.unknown(), refusal.reason, code, status)
         return Unknown(
             stage.unknown(),
-            f"an endpoint failed, and no other could be had: {refusal.reason}",
+            f"an endpoint failed, and no other was available: {refusal.reason}",
             retry_after=refusal.retry_after,
         )
 
-    async def _place(self, turn: Turn) -> Result[Grant, Refusal]:
-        """Get a place, and check that the request may still run."""
-        placed = await self.parts.admission.acquire(self.slot_request(turn))
-        if placed.is_error():
-            return placed
-        refusal = self.no_longer_allowed(turn) or self._blocked(turn, placed.ok)
+    async def _acquire_slot(self, turn: Turn) -> Result[Grant, Refusal]:
+        """Acquire a slot, then check that the request may still run."""
+        acquired = await self.parts.admission.acquire(self.slot_request(turn))
+        if acquired.is_error():
+            return acquired
+        refusal = self.no_longer_allowed(turn) or self._blocked(turn, acquired.ok)
         if refusal is not None:
-            self.parts.admission.release(placed.ok)
+            self.parts.admission.release(acquired.ok)
             return Error(refusal)
-        return placed
+        return acquired
 
     def _blocked(self, turn: Turn, grant: Grant) -> Refusal | None:
-        """Keep a request from what ends by it, right before a dispatch.
+        """Return why a request must not be sent to an endpoint, or None if it may.
 
-        Sent on from endpoint to endpoint it ends all of them, with all that they run.
+        Checked right before the dispatch: a crashing request that is retried at one
+        endpoint after another crashes all of them, with all that they run.
         """
         return self.parts.crashes.refusal(turn.arrival, grant.target_of(turn.target))
 
@@ -250,7 +252,7 @@
         self, turn: Turn, running: Dispatched, grant: Grant
     ) -> Outcome | Received | Continuing:
         try:
-            async with self.limits.of(turn.arrival, grant.name):
+            async with self.limits.enforce(turn.arrival, grant.name):
                 return await self.exchange(turn, running, grant)
         except NotStartedError as error:
             return self._not_started(turn, running, grant, error)
@@ -260,7 +262,7 @@
     def _not_started(
         self, turn: Turn, running: Dispatched, grant: Grant, error: NotStartedError
     ) -> Received | Continuing:
-        """Look for another place: the endpoint did not begin."""
+        """Return the stage for another attempt after the endpoint did not start it."""
         if error.step in (STEP_CONNECT, STEP_REACH):
             self.parts.table.failed(grant.name, monotonic(), turn.target)
             turn.tried |= {grant.name}
@@ -280,7 +282,7 @@
     async def _failed(
         self, turn: Turn, running: Dispatched, grant: Grant, error: EndpointError
     ) -> Outcome | Continuing:
-        """Try another endpoint where that is allowed; else the end is unknown."""
+        """Retry at another endpoint if allowed; otherwise the outcome is unknown."""
         await self.note_failure(turn, grant, error)
         in_time = turn.arrival.deadline > monotonic()
         if turn.repeatable and in_time and self.may_retry(turn):
@@ -292,26 +294,28 @@
     async def note_failure(
         self, turn: Turn, grant: Grant, error: EndpointError
     ) -> None:
-        """Learn from a failure of an endpoint after it may have begun, and log it.
+        """Record and log a failure of an endpoint that may have started a request.
 
         :param turn: the request.
-        :param grant: the endpoint.
+        :param grant: the slot at the endpoint.
         :param error: how it failed.
         """
         self.count_failure(turn, grant, error)
         self.on_failed(turn, grant, error)
         broke = error.step == STEP_BROKEN
-        ended = not self.is_current(grant)
-        if broke and not ended:
-            ended = await self.parts.crashes.has_ended(grant.endpoint)
+        crashed = not self.is_current(grant)
+        if broke and not crashed:
+            crashed = await self.parts.crashes.has_crashed(grant.endpoint)
         target = grant.target_of(turn.target)
-        if ended:
+        if crashed:
             self.on_crashed(turn, grant)
             await self.parts.crashes.await_peer_traces(turn.arrival, target)
         elif broke:
             ran = _seconds_since(grant.began)
             held = monotonic() - grant.started
-            self.parts.crashes.broke(turn.arrival, target, grant.name, ran, held)
+            self.parts.crashes.record_interruption(
+                turn.arrival, target, grant.name, ran, held
+            )
         self.context.timeline.emit(
             EventKind.FAILED,
             request=turn.arrival.request,
@@ -322,14 +326,14 @@
             status=error.status,
             after_ms=_ms_since(grant.started),
             ran_ms=None if grant.began is None else _ms_since(grant.began),
-            ended=ended,
+            ended=crashed,
             fingerprint=turn.arrival.fingerprint() if broke else None,
         )
 
     async def abandon(
         self, turn: Turn, running: Dispatched, error: EndpointError
     ) -> Outcome:
-        """End a request whose last try has failed.
+        """Return the outcome of a request whose last attempt failed.
 
         :param turn: the request.
         :param running: its stage.
@@ -338,10 +342,12 @@
         return Unknown(running.unknown(), f"the endpoint failed: {error}")
 
     def count_failure(self, turn: Turn, grant: Grant, error: EndpointError) -> None:
-        """Learn from a failure of an endpoint.
+        """Update the state of an endpoint after a failure.
+
+        Error statuses count only if the request has not failed at other endpoints too.
 
         :param turn: the request.
-        :param grant: the endpoint.
+        :param grant: the slot at the endpoint.
         :param error: how it failed.
         """
         now = monotonic()
@@ -352,7 +358,7 @@
         self.parts.table.failed(grant.name, now, turn.target)
 
     def on_success(self, turn: Turn) -> None:
-        """Note that an endpoint has answered a request well.
+        """Record that an endpoint answered a request successfully.
 
         :param turn: the request.
         """
@@ -360,14 +366,15 @@
             self.parts.failures.answered(turn.arrival.fingerprint())
 
     def refuse(self, stage: Undispatched, refusal: Refusal) -> Refused:
-        """:param stage: a stage before any dispatch.
+        """Return the outcome of a request that is refused.
 
+        :param stage: a stage before any dispatch.
         :param refusal: why.
         """
         return Refused(stage.refuse(refusal))
 
     def not_accepting(self) -> Refusal | None:
-        """:returns: why this VM takes no requests now, or None."""
+        """Return why this VM accepts no requests at present, or None."""
         if self.closed:
             return Refusal(
                 RefusalCode.STOPPING, "this entry VM is stopping", STOPPING_RETRY
--- a/walnutquay/coordination/requests/recorder.py
+++ b/walnutquay/coordination/requests/recorder.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Records what callers send and how it ends, as a trace, while asked to."""
+"""On-demand recording of requests and their outcomes as a trace."""
 
 from __future__ import annotations
 
@@ -19,23 +19,24 @@
 )
 from walnutquay.transport.timers import monotonic
 
-# Requests that a recording holds at the most; it ends itself then.
+# The maximum number of requests in a recording, which stops when it is reached.
 MAX_RECORDED = 100_000
-# A prompt's beginning up to here tells which prompts share one.
+# Prompts that are equal up to this many bytes count as sharing a prefix.
 PREFIX_BYTES = 256
-# Names of sessions and prefixes are hashes: what callers wrote is not recorded.
+# Digits of the hashes that stand for sessions, keys and prefixes: no text of callers is
+# recorded.
 NAME_DIGITS = 12
 MAX_SECONDS = 3600.0
 
 
-def _name(text: bytes) -> str:
+def _hash_name(text: bytes) -> str:
     return hashlib.sha256(text).hexdigest()[:NAME_DIGITS]
 
 
 class TraceRecorder:
-    """Keeps a trace of this VM's requests while a recording runs.
+    """Records a trace of this VM's requests while a recording is active.
 
-    It records the shape of prompts and not their words; see
+    It records the shape of prompts but not their text; see
     :mod:`walnutquay.replay.traces` for the format.
     """
 
@@ -45,24 +46,24 @@
         self.until = float("-inf")
 
     def start(self, seconds: float) -> None:
-        """Begin a recording; what was recorded before is dropped.
+        """Start a recording and discard the previous one.
 
-        :param seconds: for how long.
+        :param seconds: its duration.
         """
         self.rows.clear()
         self.began = monotonic()
         self.until = self.began + min(seconds, MAX_SECONDS)
 
     def stop(self) -> None:
-        """End the recording; what it has stays to be fetched."""
+        """Stop the recording; its rows remain available."""
         self.until = float("-inf")
 
     def record(self, arrival: Arrival, began: float, outcome: Outcome | None) -> None:
-        """Record a request that has ended.
+        """Record a finished request.
 
         :param arrival: the request.
-        :param began: when it came; monotonic seconds.
-        :param outcome: how it ended; None where its caller has gone.
+        :param began: when it was received; monotonic seconds.
+        :param outcome: its outcome; None if its caller disconnected.
         """
         if began > self.until or began < self.began:
             return
@@ -73,7 +74,7 @@
             "at": round(began - self.began, 4),
             "organisation": arrival.organisation.name,
             "class": arrival.request_class,
-            "expect": [_expected(outcome)],
+            "expect": [_expected_outcome(outcome)],
             "deadline": round(arrival.deadline - began, 3),
         }
         if isinstance(arrival, ChatArrival):
@@ -81,12 +82,12 @@
         elif isinstance(arrival, ServiceArrival):
             row |= _call_shape(arrival)
         if arrival.key:
-            row["key"] = _name(arrival.key.encode())
+            row["key"] = _hash_name(arrival.key.encode())
         self.rows.append(row)
 
 
-def _expected(outcome: Outcome | None) -> str:
-    """Name an outcome as traces state it."""
+def _expected_outcome(outcome: Outcome | None) -> str:
+    """Return the name of an outcome in traces."""
     if isinstance(outcome, Refused):
         return "not_run"
     if outcome is None or isinstance(outcome, Unknown):
@@ -103,7 +104,7 @@
         "kind": "chat",
         "model": call.model,
         "stream": call.stream,
-        "prefix": _name(prompt.encode()[:PREFIX_BYTES]),
+        "prefix": _hash_name(prompt.encode()[:PREFIX_BYTES]),
         "prefix_chars": min(len(prompt), PREFIX_BYTES),
         "prompt_chars": len(prompt),
     }
@@ -111,12 +112,12 @@
         shape["max_tokens"] = call.body["max_tokens"]
     session = arrival.token or arrival.session
     if arrival.session or session:
-        shape["session"] = _name((arrival.session or session).encode())
+        shape["session"] = _hash_name((arrival.session or session).encode())
     return shape
 
 
 def _call_shape(arrival: ServiceArrival) -> dict[str, Any]:
-    """Give a call's shape: its body is as long as it was, its query is left out."""
+    """Return the shape of a call: its body's length, and its path without query."""
     path = arrival.path.partition("?")[0].lstrip("/")
     return {
         "kind": "service",
--- a/walnutquay/coordination/requests/slots.py
+++ b/walnutquay/coordination/requests/slots.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What a request needs a place for, and the place that it gets."""
+"""Requests for a slot at an endpoint, and the slots granted."""
 
 from __future__ import annotations
 
@@ -27,22 +27,22 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotRequest:
-    """What a request needs a place for.
+    """The properties of a request that needs a slot.
 
-    :param request: its id.
-    :param organisation: whose it is.
+    :param request: the request id.
+    :param organisation: the organisation of the caller.
     :param weight: the organisation's weight.
-    :param target: the version or service that is to run.
+    :param target: the version or service that should run it.
     :param deadline: when the answer is due; monotonic seconds.
-    :param since: since when it has been looking for a place.
+    :param since: when it started waiting for a slot; monotonic seconds.
     :param hint: the endpoint that is likely to have the prompt cached.
     :param tried: endpoints that have failed this request.
-    :param prefix: what stands for the prompt's beginning; empty for none.
+    :param prefix: the key of the prompt's prefix; empty if none.
     :param version: the version of a service's software; empty for any.
-    :param work: the reading of its prompt; None where it has none.
-    :param aim: the time in which its answer should begin; seconds.
-    :param priority: its rank, 0 the most urgent.
-    :param suspect: its fingerprint, where an endpoint has ended under it; empty else.
+    :param work: the work of processing its prompt; None if it has no prompt.
+    :param aim: the objective for the time until its answer begins; seconds.
+    :param priority: its rank, where 0 is the most urgent.
+    :param suspect: its fingerprint if an endpoint crashed while running it, else empty.
     :param regions: the regions in which it may run; None for all.
     """
 
@@ -65,12 +65,12 @@
 
 @dataclass(slots=True)
 class Grant:
-    """A place at an endpoint, to be given back with :meth:`Admission.release`.
+    """A slot at an endpoint, to be released with :meth:`SlotAllocator.release`.
 
-    :param endpoint: where.
-    :param started: since when; monotonic seconds.
+    :param endpoint: the endpoint.
+    :param started: when it was granted; monotonic seconds.
     :param work: the kind of work of the pool at that time.
-    :param began: when the head of an answer came from there; monotonic seconds.
+    :param began: when the headers of an answer arrived; monotonic seconds.
     """
 
     endpoint: Endpoint | Instance
@@ -84,9 +84,9 @@
         return EndpointName(self.endpoint.name)
 
     def target_of(self, target: str) -> CrashTarget:
-        """:param target: the version or service that was asked for.
+        """Return what the endpoint runs for a target.
 
-        :returns: what the endpoint runs for it.
+        :param target: the version or service that was requested.
         """
         instance = isinstance(self.endpoint, Instance)
         version = self.endpoint.version if instance else ""
@@ -94,16 +94,23 @@
 
 
 class SlotAllocator(Protocol):
-    """Gives out places at endpoints."""
+    """Allocates slots at endpoints."""
 
     async def acquire(self, need: SlotRequest) -> Result[Grant, Refusal]:
-        """:param need: what for.
+        """Wait for a slot.
 
-        :returns: a place, or why there is none.
+        :param need: the properties of the request.
+        :returns: a slot, or why there is none.
         """
 
     def release(self, grant: Grant) -> None:
-        """:param grant: a place to give back."""
+        """Release a slot.
+
+        :param grant: the slot.
+        """
 
     def full(self, grant: Grant) -> None:
-        """:param grant: a place that its endpoint did not have after all."""
+        """Record that an endpoint had no capacity for a slot after all.
+
+        :param grant: the slot.
+        """
--- a/walnutquay/coordination/requests/turn.py
+++ b/walnutquay/coordination/requests/turn.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""A request on its way: what all kinds of them have in common."""
+"""The state of a request in progress, common to all kinds of requests."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 @dataclass(slots=True)
 class Turn(ABC):
-    """A request on its way to an outcome.
+    """A request in progress, from admission to its outcome.
 
-    :param arrival: the request.
+    :param arrival: the request as received.
     :param tried: endpoints that have failed it.
-    :param waiting_since: since when it has been looking for a place.
+    :param waiting_since: when it started waiting for a slot; monotonic seconds.
     """
 
     arrival: Arrival
@@ -27,7 +27,7 @@
     @property
     @abstractmethod
     def target(self) -> str:
-        """The version or service that is to run now."""
+        """The version or service that should run it next."""
 
     @property
     @abstractmethod
@@ -36,7 +36,7 @@
 
     @property
     def session(self) -> str:
-        """The session that it belongs to; empty if none."""
+        """The session it belongs to; empty if none."""
         return ""
 
     @property
@@ -46,5 +46,5 @@
 
     @property
     def prefix(self) -> str:
-        """What stands for the beginning of its prompt; empty if it has none."""
+        """The key of its prompt's prefix; empty if it has no prompt."""
         return ""
