--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -157,14 +157,14 @@
         "coordination/requests/crashnews.py",
         "self.peers.tell(CrashDigest(self.book.digest()))",
         "pass",
-        "tests.coordination.requests.test_crashes.LateVmTest.test_one_that_heard_nothing_while_it_was_cut_off",
+        "tests.coordination.requests.test_crashes.LateVmTest.test_vm_that_was_partitioned",
     ),
     Mutation(
         "ends of endpoints: kept for VMs that start after all were lost",
         "coordination/requests/crashrecord.py",
         'self.watch.apply_traces(decode_traces(stored.value), "the store")',
         "pass",
-        "tests.coordination.requests.test_crashes.LateVmTest.test_all_were_lost",
+        "tests.coordination.requests.test_crashes.LateVmTest.test_all_vms_were_lost",
     ),
     Mutation(
         "ends of endpoints: news tell their age",
@@ -192,7 +192,7 @@
         "coordination/requests/paths.py",
         "self.parts.crashes.record_answer(turn.arrival, target, grant.name)",
         "pass",
-        "tests.coordination.requests.test_crashes.BesideTest",
+        "tests.coordination.requests.test_crashes.ConcurrentRequestsTest",
     ),
     Mutation(
         "ends of endpoints: what was only beside is not blocked",
@@ -214,21 +214,21 @@
         "state/requests/crashes.py",
         "return len(self._ends_at(fingerprint, target)) >= ENDS_OF_KNOWN_ONE",
         "return False",
-        "tests.coordination.requests.test_crashes.MendedTest",
+        "tests.coordination.requests.test_crashes.FixedReleaseTest",
     ),
     Mutation(
         "ends of endpoints: copies under way are ended",
         "coordination/requests/paths.py",
         "parts.crashes.stop_callbacks.append(self.limits.stop)",
         "pass",
-        "tests.coordination.requests.test_crashes.CopiesTest",
+        "tests.coordination.requests.test_crashes.ConcurrentCopiesTest",
     ),
     Mutation(
         "suspended: what was under way ends at its deadline",
         "coordination/requests/limits.py",
         "limit.reschedule(loop_now + max(0.0, call.arrival.deadline - now))",
         "pass",
-        "tests.coordination.requests.test_suspended.RequestTest",
+        "tests.coordination.requests.test_suspended.InFlightRequestTest",
     ),
     Mutation(
         "suspended: what is known is confirmed before the next request",
@@ -362,6 +362,6 @@
         "coordination/routed/places.py",
         "allowed = within(candidates, need.regions, self.region_of)",
         "allowed = candidates",
-        "tests.coordination.requests.test_regions.RouteTest",
+        "tests.coordination.requests.test_regions.RouteRegionsTest",
     ),
 ]
--- a/tests/coordination/requests/__init__.py
+++ b/tests/coordination/requests/__init__.py
@@ -1,3 +1,3 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Tests of what holds for every request."""
+"""Tests of the request path shared by all interfaces."""
--- a/tests/coordination/requests/test_crashes.py
+++ b/tests/coordination/requests/test_crashes.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Requests that end the endpoints that run them."""
+"""Requests that crash the endpoints that run them."""
 
 from __future__ import annotations
 
@@ -18,48 +18,48 @@
 from walnutquay.state.requests.crashes import CrashBook
 from walnutquay.state.requests.culprits import ENDS_TO_BLOCK
 
-# A body that ends each engine that begins to run it.
+# A body that crashes each engine that starts to run it.
 CRASHING = b"crash"
 EVENTS = 3
-# A time after which a caller waits no more.
+# A caller timeout.
 SHORT_SECONDS = 0.2
 
 
-def by_body(seen: Seen) -> Behaviour:
-    """:returns: how an engine answers: it ends within some bodies' answers."""
+def crash_on_body(seen: Seen) -> Behaviour:
+    """Return the behaviour of an engine: it crashes within answers to some bodies."""
     crash_after = 1 if seen.body == CRASHING else None
     return Behaviour(events=EVENTS, crash_after=crash_after)
 
 
 class CrashCase(GatewayCase):
-    """Engines that some bodies end."""
+    """Engines that some request bodies crash."""
 
     workers = {f"e{n}": "engine" for n in range(1, 9)}
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         for worker in self.endpoints.values():
-            worker.choose = by_body
+            worker.choose = crash_on_body
 
     async def stream(
         self, body: bytes, gateway: GatewayDaemon | None = None, **headers: str
     ) -> Got:
-        """Ask for a stream of the smallest model."""
+        """Request a stream from the smallest model."""
         return await self.call(
             "/stream/x", body, gateway=gateway, Model="tiny", **headers
         )
 
     @property
     def crashes(self) -> int:
-        """How many engines have ended."""
+        """The number of engine crashes so far."""
         return sum(worker.crashes for worker in self.endpoints.values())
 
     def book_of(self, gateway: GatewayDaemon) -> CrashBook:
-        """:returns: what a VM knows of requests that end engines."""
+        """:returns: a VM's evidence on requests that crash engines."""
         return gateway.path.parts.crashes.book
 
     def events_of(self, kind: EventKind) -> list[dict[str, object]]:
-        """:returns: the facts of all events of a kind, of all VMs."""
+        """:returns: the facts of all events of a kind, from all VMs."""
         return [
             event.plain()
             for gateway in self.gateways
@@ -68,12 +68,12 @@
         ]
 
 
-class LinesTest(CrashCase):
-    """The log tells whether an endpoint ended, and under which request."""
+class CrashLogTest(CrashCase):
+    """The log states whether an endpoint crashed, and under which request."""
 
-    async def test_tries_of_one_request_are_known_by_its_fingerprint(self):
+    async def test_attempts_of_one_request_share_its_fingerprint(self):
         for _ in range(2):
-            # Each runs once, so that only its caller can bring it again.
+            # Each runs at most once, so that only its caller can retry it.
             await self.call("/once/x", CRASHING, Model="tiny")
         await self.call("/once/x", b"harmless", Model="tiny")
         failed = self.events_of(EventKind.FAILED)
@@ -85,10 +85,10 @@
         ended = self.events_of(EventKind.ENDPOINT_ENDED)
         self.assertEqual(len(ended), self.crashes)
 
-    async def test_a_connection_that_breaks_is_no_end(self):
+    async def test_a_broken_connection_alone_is_no_crash(self):
         once = [Behaviour(events=EVENTS, cut_after=1)]
         for worker in self.endpoints.values():
-            worker.choose = lambda seen: once.pop() if once else by_body(seen)
+            worker.choose = lambda seen: once.pop() if once else crash_on_body(seen)
         self.assertTrue((await self.stream(b"harmless")).whole)
         failed = self.events_of(EventKind.FAILED)
         self.assertEqual([line["ended"] for line in failed], [False])
@@ -96,22 +96,22 @@
 
 
 class CrashingRequestTest(CrashCase):
-    """A request that ends engines does not go on to end all of them.
-
-    Each engine that began to run one request ended.  Its VM held each end against the
-    engine alone and sent the request on to the next one, as often as its route allows;
-    when its caller asked again, at any VM, nothing was known of it and all began anew.
-    All engines ended within a second, and again each time they were back: 21 ends under
-    one request, and a fourth of all requests that day were refused or lost.
-
-    The `failed` lines of 13 of these ends settled it: a request of one route, caller
-    and prompt length broke at each of them, under ever new ids and at up to three VMs,
-    and no other at more than seven.  Its answer had begun 0.02 to 0.11 s before, others
-    had begun up to 2.4 s before.  Load was no cause: the first engines of two waves
-    ended with 5 and 3 requests.
+    """A request that crashes engines does not crash all of them.
+
+    Guards against VMs that blame only the engine and send the request to the next one
+    as often as the route allows.  When the caller retried at any VM, nothing was known
+    of the request and the retries started again.  All engines crashed within a second,
+    and again after each restart: 21 crashes under one request, and a quarter of all
+    requests that day were refused or lost.
+
+    The `failed` lines of 13 of these crashes identified the cause: a request of one
+    route, caller and prompt length broke at each of them, with a new id each time and
+    at up to three VMs; no other request broke at more than seven of them.  Its answer
+    had begun 0.02 to 0.11 s before the crash, those of others up to 2.4 s before.  Load
+    was not the cause: the first engines of two waves crashed with 5 and 3 requests.
     """
 
-    async def test_three_engines_end_whichever_vm_it_comes_to(self):
+    async def test_three_engines_crash_whichever_vm_receives_it(self):
         second = await self.add_gateway("vm-2", [self.gateway])
         for gateway in (self.gateway, second, self.gateway, second):
             await self.stream(CRASHING, gateway)
@@ -120,18 +120,18 @@
 
 
 class RefusalTest(CrashCase):
-    """What callers are told of a request that ends engines."""
+    """The refusal that callers receive for a request that crashes engines."""
 
     async def block(self) -> None:
-        """Have three engines end under the request."""
+        """Crash three engines with the request, so that it is blocked."""
         while self.crashes < ENDS_TO_BLOCK:
             await self.ask(CRASHING)
 
     async def ask(self, body: bytes, **headers: str) -> Got:
-        """Ask for a stream that runs once, so that only its caller brings it again."""
+        """Request a stream that runs at most once, so that only its caller retries."""
         return await self.call("/once/x", body, Model="tiny", **headers)
 
-    async def test_a_plain_error_without_a_time_to_come_back(self):
+    async def test_error_response_without_retry_after(self):
         await self.block()
         answer = await self.ask(CRASHING)
         self.assertEqual(answer.status, 500)
@@ -141,7 +141,7 @@
         refused = self.events_of(EventKind.REFUSED)
         self.assertIn("3 endpoints crashed while running", str(refused[-1]["reason"]))
 
-    async def test_operators_see_it(self):
+    async def test_metrics_and_fleet_state_show_it(self):
         await self.block()
         lines = list(self.gateway.metrics_api.lines())
         label = 'service="engine",version="v1"'
@@ -152,23 +152,23 @@
         self.assertEqual(state.blocked, 1)
         self.assertIn("end the endpoints", " ".join(concerns([state])))
 
-    async def test_one_within_whose_try_the_third_ends_has_run(self):
+    async def test_request_whose_attempt_crashes_the_third_engine_has_run(self):
         answer = await self.stream(CRASHING)
         self.assertFalse(answer.whole)
         self.assertEqual(self.crashes, ENDS_TO_BLOCK)
         blocked = self.events_of(EventKind.REQUEST_BLOCKED)
         self.assertEqual([line["ends"] for line in blocked], [ENDS_TO_BLOCK])
 
-    async def test_other_requests_go_on(self):
+    async def test_other_requests_are_still_served(self):
         await self.block()
         before = self.crashes
         for path, body in (("/stream/y", CRASHING), ("/stream/x", b"harmless")):
             await self.call(path, body, Model="tiny")
             self.assertGreater(self.runs(), 0)
-        # The one on another path is another request, and ends an engine.
+        # The same body on another path is another request, and crashes an engine.
         self.assertGreater(self.crashes, before)
 
-    async def test_nobody_can_have_another_callers_requests_refused(self):
+    async def test_block_does_not_affect_other_callers(self):
         await self.block()
         for worker in self.endpoints.values():
             worker.choose = lambda seen: Behaviour(events=EVENTS)
@@ -178,18 +178,20 @@
         self.assertEqual((await self.ask(CRASHING)).status, 500)
 
 
-class CopiesTest(CrashCase):
-    """Copies that other engines have yet, as it is found, are not run to their end."""
+class ConcurrentCopiesTest(CrashCase):
+    """Copies still at other engines are cancelled when the request is blocked."""
 
-    async def test_one_that_waits_at_an_engine_is_ended(self):
+    async def test_copy_waiting_at_an_engine_is_cancelled(self):
         gate = asyncio.Event()
         waiting = [Behaviour(events=EVENTS, gate=gate)]
         for worker in self.endpoints.values():
-            worker.choose = lambda seen: waiting.pop() if waiting else by_body(seen)
+            worker.choose = lambda seen: (
+                waiting.pop() if waiting else crash_on_body(seen)
+            )
         copy = asyncio.ensure_future(self.stream(CRASHING, Deadline="9000"))
         await self.until(lambda: not waiting)
         holder = next(worker for worker in self.endpoints.values() if worker.runs)
-        # The others are to end first.
+        # The other engines must crash first.
         table = self.gateway.path.places.table
         table.of(holder.name).ejected_until = float("inf")
         await self.stream(CRASHING)
@@ -202,16 +204,16 @@
         await self.until(lambda: holder.runs[0].left)
 
 
-class BesideTest(CrashCase):
-    """Requests that ran beside it are served, and none of them is refused."""
+class ConcurrentRequestsTest(CrashCase):
+    """Requests that ran beside the crashing one are served, and none is refused."""
 
-    async def test_all_are_answered_elsewhere(self):
-        # They run until all ends have come.
+    async def test_all_are_answered_by_other_engines(self):
+        # They run until all crashes have happened.
         gate = asyncio.Event()
         held = Behaviour(events=EVENTS, gate=gate)
 
         def behave(seen: Seen) -> Behaviour:
-            return by_body(seen) if seen.body == CRASHING else held
+            return crash_on_body(seen) if seen.body == CRASHING else held
 
         for worker in self.endpoints.values():
             worker.choose = behave
@@ -234,16 +236,16 @@
 
 
 class LateVmTest(CrashCase):
-    """VMs that were not there when it was found know of it all the same."""
+    """VMs that were absent when a request was blocked learn of the block."""
 
-    async def test_one_that_starts_later(self):
+    async def test_vm_that_starts_later(self):
         await self.stream(CRASHING)
         second = await self.add_gateway("vm-2", [self.gateway])
         await self.until(lambda: bool(self.book_of(second).blocked))
         self.assertEqual((await self.stream(CRASHING, second)).status, 500)
         self.assertEqual(self.crashes, ENDS_TO_BLOCK)
 
-    async def test_all_were_lost(self):
+    async def test_all_vms_were_lost(self):
         await self.stream(CRASHING)
         record = self.gateway.crash_record
         await self.until(lambda: record.write_count)
@@ -253,12 +255,12 @@
         self.assertEqual((await self.stream(CRASHING, second)).status, 500)
         self.assertEqual(self.crashes, ENDS_TO_BLOCK)
 
-    async def test_one_that_heard_nothing_while_it_was_cut_off(self):
+    async def test_vm_that_was_partitioned(self):
         second = await self.add_gateway("vm-2")
         await self.stream(CRASHING)
-        # Until all of it has been told, to nobody.
-        telling = self.gateway.path.parts.crashes.exchange.tasks
-        await self.until(lambda: not telling.running)
+        # Until all messages have been sent, without reaching any VM.
+        sending = self.gateway.path.parts.crashes.exchange.tasks
+        await self.until(lambda: not sending.running)
         self.assertFalse(self.book_of(second).blocked)
         for one, other in ((self.gateway, second), (second, self.gateway)):
             place = VmPlace(other.peers.own, other.context.hall)
@@ -267,8 +269,8 @@
         self.assertEqual((await self.stream(CRASHING, second)).status, 500)
 
 
-class MendedTest(CrashCase):
-    """A release that mends the engines lets the request run again."""
+class FixedReleaseTest(CrashCase):
+    """A release that fixes the engines lets the request run again."""
 
     async def release(self, behaviour: Behaviour) -> None:
         """Replace all engines by those of another version."""
@@ -283,37 +285,37 @@
             lambda: {item.version for item in book.known.values()} == {"v2"}
         )
 
-    async def test_one_that_answers_it(self):
+    async def test_fixed_version_answers_it(self):
         await self.stream(CRASHING)
         await self.release(Behaviour(events=EVENTS))
         for _ in range(2):
             answer = await self.stream(CRASHING)
             self.assertEqual((answer.status, answer.whole), (200, True))
 
-    async def test_one_that_does_not_loses_one_engine(self):
+    async def test_unfixed_version_loses_one_engine(self):
         await self.stream(CRASHING)
         await self.release(Behaviour(events=EVENTS, crash_after=1))
         before = self.crashes
         for _ in range(3):
             await self.stream(CRASHING, Deadline=f"{SHORT_SECONDS * 1000:.0f}")
-            # One is tried at a time; the next may come when this one's time is over.
+            # One retest runs at a time; the next may follow after its deadline.
             await asyncio.sleep(SHORT_SECONDS)
         self.assertEqual(self.crashes - before, 1)
 
 
 class ForwarderTest(CrashCase):
-    """Engines behind a forwarder, which takes connections for them when they are gone.
+    """Engines behind a forwarder, which accepts connections even after they crash.
 
-    The port that a VM tries is the forwarder's, so an end seems to be a broken
-    connection: a request that ended each engine was sent to 8 of 8, and to all of them
-    again as they were back.  What tells of the end is the start after it.
+    A VM probes the forwarder's port, so a crash looks like a broken connection: a
+    request that crashed each engine was sent to 8 of 8, and to all of them again after
+    their restart.  The crash is detected by the restart that follows it.
     """
 
     workers = {"p1": "plain"}
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        # These are back within some 0.2 s, real ones after seconds.
+        # These engines restart within about 0.2 s, real ones take seconds.
         patch = mock.patch.object(crashes, "SAME_END_SECONDS", 0.05)
         patch.start()
         self.addCleanup(patch.stop)
@@ -321,11 +323,11 @@
         for number in range(1, 9):
             name = f"e{number}"
             self.links[name] = await self.add_linked_worker(name, "engine")
-            self.endpoints[name].choose = by_body
+            self.endpoints[name].choose = crash_on_body
             await self.enter(name)
 
     async def enter(self, name: str) -> None:
-        """Write the entry of an engine's start, and wait until it is known."""
+        """Write the entry of an engine's start and wait until the VM has read it."""
         worker = self.endpoints[name]
         born = 1000 + worker.crashes
         address = f"127.0.0.1:{self.links[name].port}"
@@ -335,13 +337,13 @@
         await self.until(lambda: book.known[name].born == born)
 
     async def start_again(self) -> None:
-        """Start the engines again that have ended."""
+        """Restart the engines that have crashed."""
         for name, worker in self.endpoints.items():
             if worker.ended:
                 await worker.come_back(name)
                 await self.enter(name)
 
-    async def test_the_next_start_of_an_engine_tells_that_it_has_ended(self):
+    async def test_restart_of_an_engine_shows_its_crash(self):
         for _ in range(4):
             await self.call("/once/x", CRASHING, Model="tiny")
             await self.start_again()
@@ -349,9 +351,9 @@
         ended = self.events_of(EventKind.ENDPOINT_ENDED)
         self.assertEqual(len(ended), ENDS_TO_BLOCK)
 
-    async def test_a_broken_connection_without_another_start_is_no_end(self):
+    async def test_broken_connection_without_a_restart_is_no_crash(self):
         once = [Behaviour(events=EVENTS, cut_after=1)]
         for worker in self.endpoints.values():
-            worker.choose = lambda seen: once.pop() if once else by_body(seen)
+            worker.choose = lambda seen: once.pop() if once else crash_on_body(seen)
         self.assertTrue((await self.stream(b"harmless")).whole)
         self.assertEqual(self.book_of(self.gateway).ends, [])
--- a/tests/coordination/requests/test_crashmoments.py
+++ b/tests/coordination/requests/test_crashmoments.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""A request that ends engines at the one or the other moment of its answer."""
+"""Requests that crash engines at different points of their answers."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from tests.gatewaycase import catalogue
 from walnutquay.state.requests.culprits import ENDS_TO_BLOCK
 
-# Streams may rest for longer than a test takes.
-PATIENCE_MS = 60_000
+# Streams may pause for longer than a test runs.
+LONG_TIMEOUT_MS = 60_000
 
 
-class MomentTest(CrashCase):
-    """It is found whenever it ends its engines, and its neighbours are answered."""
+class CrashMomentTest(CrashCase):
+    """The request is detected whenever it crashes engines; others are answered."""
 
-    async def come_again(self, events: int) -> None:
-        """Send it through two VMs in turn; it ends engines after some events."""
-        await self.let_streams_rest()
+    async def crash_after_events(self, events: int) -> None:
+        """Send the request via two VMs in turn; engines crash after some events."""
+        await self.disable_stream_timeouts()
         second = await self.add_gateway("vm-2", [self.gateway])
         gate = asyncio.Event()
         held = Behaviour(events=EVENTS, gate=gate)
@@ -29,7 +29,7 @@
             worker.choose = lambda seen: crash if seen.body == CRASHING else held
         beside = [
             asyncio.ensure_future(
-                self.stream(f"harmless {n}".encode(), vm, Deadline=f"{PATIENCE_MS}")
+                self.stream(f"harmless {n}".encode(), vm, Deadline=f"{LONG_TIMEOUT_MS}")
             )
             for n, vm in enumerate([self.gateway, second] * 6)
         ]
@@ -43,22 +43,22 @@
         self.assertEqual({(a.status, a.whole) for a in answers}, {(200, True)})
         self.assertEqual(self.crashes, ENDS_TO_BLOCK)
 
-    async def let_streams_rest(self) -> None:
-        """Have no stream moved or ended for its time, on busy machines too."""
+    async def disable_stream_timeouts(self) -> None:
+        """Raise all time limits so that no stream is moved or cancelled when slow."""
         patient = catalogue(2)
         for known in patient["routes"]:
             if known["kind"] == "stream":
                 limits = ("timeoutMs", "gapAimMs", "sloMs")
-                known.update(dict.fromkeys(limits, PATIENCE_MS))
+                known.update(dict.fromkeys(limits, LONG_TIMEOUT_MS))
         await self.store.put("config", "main", patient)
         current = self.gateway.knowledge.catalogue
         await self.until(lambda: current.current.version == patient["version"])
 
     async def test_before_its_first_event(self):
-        await self.come_again(0)
+        await self.crash_after_events(0)
 
     async def test_after_its_first_event(self):
-        await self.come_again(1)
+        await self.crash_after_events(1)
 
     async def test_after_some_events(self):
-        await self.come_again(EVENTS - 1)
+        await self.crash_after_events(EVENTS - 1)
--- a/tests/coordination/requests/test_crashnews.py
+++ b/tests/coordination/requests/test_crashnews.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What VMs tell each other of requests at endpoints that ended."""
+"""The exchange of crash traces between VMs."""
 
 from __future__ import annotations
 
@@ -27,26 +27,26 @@
     age=0.5,
     held=0.04,
 )
-# From the moment at which a trace is noted until each message with it is sent.
+# The time from recording a trace until each message with it is sent.
 FIRST_SECONDS, SECOND_SECONDS = 0.06, 0.31
 
 
-class HeardPeers:
-    """Other VMs that keep what they are told."""
+class RecordingPeers:
+    """Other VMs, which keep the messages sent to them."""
 
     def __init__(self) -> None:
-        self.told: list[Message] = []
+        self.sent: list[Message] = []
 
     def tell_all(self, body: Message) -> None:
         """:param body: a message to all of them."""
-        self.told.append(body)
+        self.sent.append(body)
 
 
-class DelayedNewsTest(unittest.IsolatedAsyncioTestCase):
-    """News of an end tell its age at the moment at which they are sent."""
+class DelayedTracesTest(unittest.IsolatedAsyncioTestCase):
+    """A trace carries its age as of the time at which it is sent."""
 
-    async def test_both_times_that_they_are_told(self):
-        peers = HeardPeers()
+    async def test_age_in_both_messages(self):
+        peers = RecordingPeers()
         exchange = CrashExchange(peers, CrashBook(), lambda traces, vm: None)
         times = [100.0, 100.0 + FIRST_SECONDS, 100.0 + SECOND_SECONDS]
         with (
@@ -55,6 +55,6 @@
         ):
             exchange.announce(TRACE)
             await asyncio.gather(*exchange.tasks.running)
-        ages = [trace.age for news in peers.told for trace in news.traces]
+        ages = [trace.age for message in peers.sent for trace in message.traces]
         expected = [TRACE.age + FIRST_SECONDS, TRACE.age + SECOND_SECONDS]
         self.assertEqual([round(age, 6) for age in ages], expected)
--- a/tests/coordination/requests/test_failures.py
+++ b/tests/coordination/requests/test_failures.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Requests that fail wherever they run."""
+"""Requests that fail at every endpoint."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
 
 
 def by_path(seen: Seen) -> Behaviour:
-    """:returns: how an endpoint answers."""
+    """:returns: the behaviour of an endpoint."""
     return Behaviour(status=500 if seen.target == FAILING else 200)
 
 
 class RepeatedFailureTest(GatewayCase):
-    """A caller that repeats one does not shut others out of endpoints."""
+    """Repeating a failing request does not eject endpoints that others use."""
 
     workers = {f"p{n}": "plain" for n in range(1, 5)}
 
-    def left_out(self) -> list[str]:
-        """:returns: the endpoints that are left out for their failures."""
+    def ejected(self) -> list[str]:
+        """:returns: the endpoints that are ejected for their failures."""
         table = self.gateway.path.places.table
         return [n for n in self.endpoints if table.of(n).ejected_until > monotonic()]
 
-    async def test_it_is_held_against_no_endpoint(self):
+    async def test_request_that_fails_everywhere_ejects_no_endpoint(self):
         for worker in self.endpoints.values():
             worker.choose = by_path
         for _ in range(FAILURES_TO_EJECT * len(self.endpoints)):
             answer = await self.call(FAILING)
             self.assertEqual(answer.status, 500)
-        self.assertEqual(self.left_out(), [])
+        self.assertEqual(self.ejected(), [])
 
-    async def test_what_others_answer_is_held_against_the_endpoint(self):
+    async def test_failure_that_other_endpoints_answer_counts(self):
         self.endpoints["p1"].default = Behaviour(status=500)
         table = self.gateway.path.places.table
         while not table.of("p1").failures:
--- a/tests/coordination/requests/test_regions.py
+++ b/tests/coordination/requests/test_regions.py
@@ -17,18 +17,18 @@
 REGIONS = {"hall-a": "north", "hall-b": "south"}
 
 
-class AllowedTest(unittest.TestCase):
-    """What all who have a say allow."""
+class AllowedRegionsTest(unittest.TestCase):
+    """The intersection of all region restrictions."""
 
     def test_table(self):
-        for said, expected in (
+        for restrictions, expected in (
             (((), ()), None),
             ((("n",), ()), {"n"}),
             ((("n", "s"), ("s", "w")), {"s"}),
             ((("n",), ("s",)), set()),
         ):
-            with self.subTest(said=said):
-                self.assertEqual(allowed_regions(*said), expected)
+            with self.subTest(restrictions=restrictions):
+                self.assertEqual(allowed_regions(*restrictions), expected)
 
 
 class RoutedCase(GatewayCase):
@@ -58,12 +58,12 @@
         return gateway
 
 
-class RouteTest(RoutedCase):
-    """A route's regions hold for its first sends, retries and larger models."""
+class RouteRegionsTest(RoutedCase):
+    """A route's regions apply to first sends, retries and larger models."""
 
     of_routes = ("south",)
 
-    async def test_each_way(self):
+    async def test_first_sends_retries_and_larger_models(self):
         self.endpoints["p2"].next.append(Behaviour(status=500))
         self.endpoints["e2"].default = Behaviour(events=2, headers={"Confidence": "1"})
         for _ in range(8):
@@ -73,7 +73,7 @@
         self.assertEqual(self.runs("p1", "e1"), 0)
         self.assertGreater(self.runs("p2", "e2"), 24)
 
-    async def test_where_none_is_left(self):
+    async def test_no_endpoint_in_an_allowed_region(self):
         await self.store.remove("servers", "p2")
         book = self.gateway.knowledge.instances.book
         await self.until(lambda: "p2" not in book.known)
@@ -81,20 +81,20 @@
         self.assertEqual(self.runs("p1"), 0)
 
 
-class BothTest(RoutedCase):
-    """Where both have regions, both bind."""
+class BothRegionsTest(RoutedCase):
+    """Regions of the route and of the organisation both apply."""
 
     of_routes = ("north", "south")
     of_organisations = ("north",)
 
-    async def test_only_what_both_allow(self):
+    async def test_only_regions_that_both_allow(self):
         for _ in range(8):
             self.assertEqual((await self.call("/safe/x")).status, 200)
         self.assertEqual((self.runs("p1"), self.runs("p2")), (8, 0))
 
 
-class UnknownTest(RoutedCase):
-    """A hall whose region nobody knows is in none that is allowed."""
+class UnknownRegionTest(RoutedCase):
+    """A hall with an unknown region is in no allowed region."""
 
     of_organisations = ("west",)
 
@@ -104,7 +104,7 @@
 
 
 class OwnInterfaceTest(FleetCase):
-    """Organisations of our own interface may be kept to regions, too."""
+    """Organisations of our own interface may be restricted to regions, too."""
 
     engines = ("engine-1",)
 
@@ -115,7 +115,7 @@
         content["organisations"][1]["regions"] = ["north"]
         return content
 
-    async def test_where_they_may_run_and_where_not(self):
+    async def test_allowed_and_other_regions(self):
         answer = await self.chat("vm-a1", model="small-1")
         self.assertEqual((answer.status, answer.ran), (503, "not_run"))
         answer = await self.chat("vm-a1", model="small-1", key=OTHER_KEY)
--- a/tests/coordination/requests/test_suspended.py
+++ b/tests/coordination/requests/test_suspended.py
@@ -1,9 +1,9 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""VMs that were suspended: a clock goes on that timers do not follow.
+"""VMs that were suspended: the boot-time clock advances while timers stand still.
 
-Time is moved by what the system call tells; a real suspension, in which timers stand
-still as well, cannot be brought about in a test.
+The tests patch the clock that the system call returns.  A real suspension, in which
+timers stop as well, cannot be produced in a test.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from walnutquay.state.process.events import EventKind
 from walnutquay.transport.timers import WAKE_SECONDS, TimerService
 
-# Longer than any time that is waited here.
+# Longer than any time limit used here.
 SLEPT_SECONDS = 1000.0
-# In which a test has ended that is not stuck.
+# The time within which a test finishes unless it hangs.
 HANG_SECONDS = 20.0
 
 
 class Clock:
-    """Lets the time that counts suspensions jump."""
+    """A clock whose boot time, which counts suspensions, can be advanced."""
 
     def __init__(self) -> None:
         self.slept = 0.0
@@ -37,26 +37,26 @@
 
 
 class WakeTest(unittest.IsolatedAsyncioTestCase):
-    """The timer service tells that the machine was away, and for how long."""
+    """The timer service reports a suspension and its duration."""
 
-    async def test_told_once_with_the_time(self):
+    async def test_callback_runs_once_with_the_duration(self):
         clock = Clock()
-        told: list[float] = []
+        durations: list[float] = []
         with mock.patch.object(time, "clock_gettime", clock):
             timers = TimerService()
-            timers.on_wake(told.append)
+            timers.on_wake(durations.append)
             await asyncio.sleep(0.3)
-            self.assertEqual(told, [])
+            self.assertEqual(durations, [])
             clock.slept = SLEPT_SECONDS
             async with asyncio.timeout(HANG_SECONDS):
-                while not told:  # noqa: ASYNC110
+                while not durations:  # noqa: ASYNC110
                     await asyncio.sleep(0.01)
             await asyncio.sleep(0.3)
             timers.stop()
-        self.assertEqual(len(told), 1)
-        self.assertGreater(told[0], SLEPT_SECONDS - WAKE_SECONDS)
+        self.assertEqual(len(durations), 1)
+        self.assertGreater(durations[0], SLEPT_SECONDS - WAKE_SECONDS)
 
-    async def test_periods_do_not_pile_up(self):
+    async def test_periodic_calls_do_not_accumulate(self):
         clock = Clock()
         with mock.patch.object(time, "clock_gettime", clock):
             timers = TimerService()
@@ -69,7 +69,7 @@
 
 
 class SuspendedCase(GatewayCase):
-    """A gateway whose machine is suspended."""
+    """A gateway on a machine that is suspended."""
 
     async def asyncSetUp(self) -> None:
         self.clock = Clock()
@@ -79,15 +79,15 @@
         await super().asyncSetUp()
 
     def woke(self) -> list[dict[str, object]]:
-        """:returns: the facts of the lines that tell of waking."""
+        """:returns: the facts of the wake events."""
         events = self.gateway.context.timeline.ring.events
         return [dict(e.facts) for e in events if e.kind is EventKind.WOKE]
 
 
-class RequestTest(SuspendedCase):
-    """What was under way when the machine fell asleep."""
+class InFlightRequestTest(SuspendedCase):
+    """Requests in progress when the machine is suspended."""
 
-    async def test_one_whose_time_is_over_is_answered_at_once(self):
+    async def test_expired_request_is_answered_at_once(self):
         spec = catalogue(2)
         for route in spec["routes"]:
             route["timeoutMs"] = 100_000
@@ -111,10 +111,10 @@
 
 
 class KnowledgeTest(SuspendedCase):
-    """Nothing is sent by what was known before, if the store can tell the newest."""
+    """No request is sent by stale state while the store can confirm the newest."""
 
-    async def test_it_is_confirmed_before_the_first_request(self):
-        # The store's answers take so long that the request would be sent first.
+    async def test_state_is_confirmed_before_the_first_request(self):
+        # The store answers so slowly that the request would otherwise be sent first.
         self.store.late_seconds = 0.1
         self.clock.slept += SLEPT_SECONDS
         await self.until(lambda: bool(self.woke()))
@@ -124,19 +124,19 @@
         for follower in knowledge.followers():
             self.assertGreater(follower.confirmed_at, knowledge.woke_at)
 
-    async def test_where_the_store_is_away_too_what_is_known_is_used(self):
+    async def test_known_state_is_used_while_the_store_is_unreachable(self):
         self.store.silent = True
         self.clock.slept += SLEPT_SECONDS
         await self.until(lambda: bool(self.woke()))
         self.assertEqual((await self.call("/safe/x")).status, 200)
 
-    async def test_a_key_that_was_taken_away_meanwhile(self):
+    async def test_key_revoked_during_the_suspension(self):
         await self.until(lambda: self.store.waiting > 0)
         self.gateway.knowledge.stop()
         spec = catalogue(2)
         spec["tenants"][0]["apiKeys"] = ["only-this-key"]
         await self.store.put("config", "main", spec)
-        # It hears again when it wakes.
+        # It follows the store again when it wakes.
         self.gateway.knowledge.follow()
         self.store.late_seconds = 0.1
         self.clock.slept += SLEPT_SECONDS
--- a/walnutquay/coordination/requests/crashes.py
+++ b/walnutquay/coordination/requests/crashes.py
@@ -116,13 +116,13 @@
         fingerprint = arrival.fingerprint()
         if not self._is_blocked_for(fingerprint, target, arrival.deadline):
             return None
-        ends = self.book.evidence(fingerprint, target.service)
-        last = monotonic() - ends[-1].at
-        names = ", ".join(end.endpoint for end in ends)
+        crashes = self.book.evidence(fingerprint, target.service)
+        last = monotonic() - crashes[-1].at
+        names = ", ".join(crash.endpoint for crash in crashes)
         return Refusal(
             RefusalCode.ENDS_ENDPOINTS,
-            f"{len(ends)} endpoints crashed while running this request, the last one "
-            f"{last:.1f} s ago; it will not be sent again ({names})",
+            f"{len(crashes)} endpoints crashed while running this request, the last "
+            f"one {last:.1f} s ago; it will not be sent again ({names})",
         )
 
     def _is_blocked_for(
@@ -143,7 +143,7 @@
         if now < self.retest_until.get(fingerprint, float("-inf")):
             return True
         self.retest_until = {
-            name: end for name, end in self.retest_until.items() if now < end
+            name: until for name, until in self.retest_until.items() if now < until
         }
         self.retest_until[fingerprint] = deadline
         return False
@@ -256,7 +256,7 @@
     def _record(self, trace: CrashTrace) -> None:
         if not self.book.take(trace, monotonic()):
             return
-        self._log_block_changes("")
+        self._handle_block_changes("")
         self.exchange.announce(trace)
 
     # Exchange with the other VMs.
@@ -270,14 +270,14 @@
         now = monotonic()
         for trace in traces:
             self.book.take(trace, now)
-        self._log_block_changes(vm)
+        self._handle_block_changes(vm)
 
     def blocked_traces(self) -> list[CrashTrace]:
         """:returns: the traces of all blocked requests."""
         return list(self.book.blocked_traces(monotonic()))
 
-    def _log_block_changes(self, source: str) -> None:
-        """Log which requests have become blocked or free since the last call.
+    def _handle_block_changes(self, source: str) -> None:
+        """Log requests that were blocked or freed since the last call; act on blocks.
 
         :param source: the VM whose traces caused the changes; empty for this one.
         """
@@ -308,16 +308,16 @@
         self, fingerprint: Fingerprint, target: CrashTarget, blocked: bool, source: str
     ) -> None:
         now = monotonic()
-        ends = self.book.evidence(fingerprint, target.service)
+        crashes = self.book.evidence(fingerprint, target.service)
         kind = EventKind.REQUEST_BLOCKED if blocked else EventKind.REQUEST_FREED
         self.context.timeline.emit(
             kind,
             version=target.service,
-            detail=", ".join(end.endpoint for end in ends),
+            detail=", ".join(crash.endpoint for crash in crashes),
             fingerprint=fingerprint,
             runs=target.version,
-            ends=len(ends),
-            ends_age_ms=round((now - ends[-1].at) * 1000.0) if ends else None,
+            ends=len(crashes),
+            ends_age_ms=round((now - crashes[-1].at) * 1000.0) if crashes else None,
             told_by=source,
         )
 
@@ -326,7 +326,7 @@
         if not self.book.ends and not self.book.answered:
             return
         self.book.expire(monotonic())
-        self._log_block_changes("")
+        self._handle_block_changes("")
         self.exchange.send_digest()
 
 
