--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -169,7 +169,7 @@
     Mutation(
         "ends of endpoints: news tell their age",
         "coordination/requests/crashnews.py",
-        "age=trace.age + now - noted",
+        "age=trace.age + now - recorded_at",
         "age=trace.age",
         "tests.coordination.requests.test_crashnews",
     ),
--- a/walnutquay/coordination/requests/crashnews.py
+++ b/walnutquay/coordination/requests/crashnews.py
@@ -36,7 +36,7 @@
 QUERY_SECONDS = 0.4
 
 # Applies traces that another VM recorded; takes the traces and the name of the VM.
-ApplyTraces = Callable[[Sequence[CrashTrace], str], None]
+TraceHandler = Callable[[Sequence[CrashTrace], str], None]
 
 
 class Peers(Protocol):
@@ -80,7 +80,7 @@
     """
 
     def __init__(
-        self, peers: Peers, book: CrashBook, apply_traces: ApplyTraces
+        self, peers: Peers, book: CrashBook, apply_traces: TraceHandler
     ) -> None:
         self.peers = peers
         self.book = book
@@ -118,7 +118,10 @@
 
     def _send(self, batch: Sequence[tuple[float, CrashTrace]]) -> None:
         now = monotonic()
-        traces = [replace(trace, age=trace.age + now - noted) for noted, trace in batch]
+        traces = [
+            replace(trace, age=trace.age + now - recorded_at)
+            for recorded_at, trace in batch
+        ]
         for first in range(0, len(traces), BATCH_SIZE):
             self.peers.tell_all(CrashNews(tuple(traces[first : first + BATCH_SIZE])))
 
--- a/walnutquay/coordination/requests/paths.py
+++ b/walnutquay/coordination/requests/paths.py
@@ -114,7 +114,7 @@
 
         :param turn: the request.
         :param running: its stage.
-        :param grant: the endpoint.
+        :param grant: the slot at the endpoint.
         :returns: the outcome, or the stage from which another attempt continues.
         :raises NotStartedError: if the endpoint cannot have started the request.
         :raises EndpointError: if it may have started it, and there is no answer.
