--- a/lab/crashes/fleet.py
+++ b/lab/crashes/fleet.py
@@ -284,7 +284,7 @@
             sent = self.loop.time()
             began = await self._try(watch, engine, request)
             if began is True:
-                watch.answered(request, TARGET, engine.name)
+                watch.record_answer(request, TARGET, engine.name)
                 return "served"
             if not request.crashes:
                 self.found.hit += 1
@@ -294,7 +294,7 @@
                 sends -= 1
                 ran = None if began is None else self.loop.time() - began
                 held = self.loop.time() - sent
-                watch.ended(request, TARGET, engine.name, ran, held)
+                watch.record_crash(request, TARGET, engine.name, ran, held)
                 await watch.await_peer_traces(request, TARGET)
         return "lost"
 
