--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -360,7 +360,7 @@
     ),
     Mutation(
         "regions: a route's endpoints are asked wherever they stand",
-        "coordination/routed/places.py",
+        "coordination/routed/admission.py",
         "allowed = filter_by_region(candidates, need.regions, self.region_of)",
         "allowed = candidates",
         "tests.coordination.requests.test_regions.RouteRegionsTest",
--- a/tests/coordination/requests/test_crashes.py
+++ b/tests/coordination/requests/test_crashes.py
@@ -192,7 +192,7 @@
         await self.until(lambda: not waiting)
         holder = next(worker for worker in self.endpoints.values() if worker.runs)
         # The other engines must crash first.
-        table = self.gateway.path.places.table
+        table = self.gateway.path.admission.table
         table.state_of(holder.name).ejected_until = float("inf")
         await self.stream(CRASHING)
         answer = await copy
--- a/tests/coordination/requests/test_failures.py
+++ b/tests/coordination/requests/test_failures.py
@@ -25,7 +25,7 @@
 
     def ejected(self) -> list[str]:
         """:returns: the endpoints that are ejected for their failures."""
-        table = self.gateway.path.places.table
+        table = self.gateway.path.admission.table
         return [
             n for n in self.endpoints if table.state_of(n).ejected_until > monotonic()
         ]
@@ -40,7 +40,7 @@
 
     async def test_failure_that_other_endpoints_answer_counts(self):
         self.endpoints["p1"].default = Behaviour(status=500)
-        table = self.gateway.path.places.table
+        table = self.gateway.path.admission.table
         while not table.state_of("p1").failures:
             answer = await self.call("/safe/x")
             self.assertEqual(answer.status, 200)
--- a/tests/coordination/routed/test_worknews.py
+++ b/tests/coordination/routed/test_promptupdates.py
@@ -8,8 +8,8 @@
 from types import SimpleNamespace
 
 from walnutquay.coordination.process.dispatcher import Dispatcher
-from walnutquay.coordination.routed.places import ReadingNote
-from walnutquay.coordination.routed.worknews import HEAVY_SECONDS, WorkExchange
+from walnutquay.coordination.routed.admission import ReadingNote
+from walnutquay.coordination.routed.promptupdates import HEAVY_SECONDS, PromptUpdates
 from walnutquay.protocol.messages import Envelope, WorkNews
 from walnutquay.state.process.clock import Stamp
 from walnutquay.state.process.ids import EndpointName, HallName
@@ -41,7 +41,7 @@
             pass_on_here=lambda *passed: self.passed.append(passed),
         )
         self.dispatcher = Dispatcher()
-        WorkExchange(places, peers).listen(self.dispatcher)
+        PromptUpdates(places, peers).listen(self.dispatcher)
         self.sent = places.listeners[0]
 
     def test_a_long_prompt_is_told_where_its_engine_is_used(self):
--- a/tests/coordination/store/test_restarts.py
+++ b/tests/coordination/store/test_restarts.py
@@ -117,13 +117,13 @@
         self.assertEqual(places.table.state_of(endpoint.name).in_flight, 0)
 
     async def test_one_that_could_not_be_reached_is_back_at_another_address(self):
-        reach = self.gateway.path.places.reach
+        reachability = self.gateway.path.places.reachability
         await self.endpoints["p1"].stop()
         self.assertNotEqual((await self.call("/safe/x")).status, 200)
-        await self.until(lambda: "p1" in reach.unreachable)
+        await self.until(lambda: "p1" in reachability.unreachable)
         await self.endpoints["p1"].start()
         await self.enter("p1", "plain", NEXT)
-        self.assertNotIn("p1", reach.unreachable)
+        self.assertNotIn("p1", reachability.unreachable)
         self.assertEqual((await self.call("/safe/x")).status, 200)
 
 
--- a/walnutquay/coordination/routed/places.py
+++ b/walnutquay/coordination/routed/admission.py
@@ -11,9 +11,9 @@
 
 from walnutquay.coordination.process.context import Context
 from walnutquay.coordination.requests.slots import Grant, SlotRequest
-from walnutquay.coordination.routed.cold import ColdGate
+from walnutquay.coordination.routed.cold import ColdLimiter
 from walnutquay.coordination.routed.promptengines import EngineBeliefs, PromptEngines
-from walnutquay.coordination.routed.reach import Reach
+from walnutquay.coordination.routed.reachability import Reachability
 from walnutquay.protocol.messages import WorkNews
 from walnutquay.state.process.ids import (
     EndpointName,
@@ -62,7 +62,7 @@
     mark: float
 
 
-class RoutedPlaces:
+class RoutedAdmission:
     """Gives out places at endpoints; endpoints have queues of their own.
 
     :param context: what this process shares.
@@ -83,7 +83,7 @@
         allowed: AllowedVersions,
         memory: Callable[[ServiceName], int],
         vms: Callable[[], int],
-        cold: ColdGate,
+        cold: ColdLimiter,
         region_of: Mapping[HallName, RegionName],
     ) -> None:
         self.context = context
@@ -95,7 +95,7 @@
         self.vms = vms
         self.cold = cold
         self.region_of = region_of
-        self.reach = Reach(context, book)
+        self.reach = Reachability(context, book)
         self.beliefs = EngineBeliefs(context.hall, table, self.work)
         # The prompts that this VM has sent last, by service.
         self.traffic: dict[ServiceName, PromptTraffic] = {}
--- a/walnutquay/coordination/routed/calls.py
+++ b/walnutquay/coordination/routed/calls.py
@@ -7,8 +7,8 @@
 import aiohttp
 
 from walnutquay.coordination.requests.slots import Grant
+from walnutquay.coordination.routed.admission import RoutedAdmission
 from walnutquay.coordination.routed.budgets import RetryBudgets
-from walnutquay.coordination.routed.places import RoutedPlaces
 from walnutquay.coordination.routed.ports import Dialect
 from walnutquay.coordination.routed.turn import RoutedTurn
 from walnutquay.exceptions import NotStartedError
@@ -40,7 +40,7 @@
         self,
         client: HttpClient,
         dialect: Dialect,
-        places: RoutedPlaces,
+        places: RoutedAdmission,
         budgets: RetryBudgets,
         table: EndpointTable,
     ) -> None:
@@ -60,7 +60,7 @@
         left = turn.seconds_left()
         order = SendOrder(
             instance=grant.name,
-            organisation=arrival.organisation.name if arrival.keyed else None,
+            organisation=arrival.organisation.name if arrival.found_by_key else None,
             seconds_left=left,
             model=turn.model_name,
             last_event=turn.progress.last_event,
--- a/walnutquay/coordination/routed/cascading.py
+++ b/walnutquay/coordination/routed/cascading.py
@@ -9,8 +9,8 @@
 from typing import Protocol
 
 from walnutquay.coordination.process.context import Context
+from walnutquay.coordination.routed.admission import RoutedAdmission
 from walnutquay.coordination.routed.facts import whole_ms
-from walnutquay.coordination.routed.places import RoutedPlaces
 from walnutquay.coordination.routed.promptengines import PromptEngines
 from walnutquay.coordination.routed.turn import Opinion, RoutedTurn
 from walnutquay.coordination.store.knowledge import Knowledge
@@ -55,7 +55,7 @@
         self,
         context: Context,
         knowledge: Knowledge,
-        places: RoutedPlaces,
+        places: RoutedAdmission,
         choice: ModelChoice,
         peers: Peers,
     ) -> None:
@@ -69,9 +69,9 @@
 
     def start(self) -> None:
         """Begin to tell the other VMs what is learnt here."""
-        self.context.timers.every("opinions", TELL_SECONDS, self.tell_peers)
+        self.context.timers.every("opinions", TELL_SECONDS, self.send_gains)
 
-    def tell_peers(self) -> None:
+    def send_gains(self) -> None:
         """Tell the other VMs what this one has learnt."""
         rows = self.choice.gains.rows()
         if rows != self.told:
@@ -149,7 +149,7 @@
         return ChoiceContext(
             arrival.route,
             arrival.priority,
-            now - arrival.came,
+            now - arrival.arrived_at,
             arrival.deadline - now,
             self.places.demand(turn.service),
             self._forecasts(turn),
--- a/walnutquay/coordination/routed/facts.py
+++ b/walnutquay/coordination/routed/facts.py
@@ -11,7 +11,7 @@
 
 from walnutquay.coordination.requests.outcomes import Arrival
 from walnutquay.coordination.requests.slots import Grant
-from walnutquay.coordination.routed.places import RoutedPlaces
+from walnutquay.coordination.routed.admission import RoutedAdmission
 from walnutquay.coordination.routed.turn import RoutedArrival, RoutedTurn
 from walnutquay.coordination.store.knowledge import Knowledge
 from walnutquay.protocol.calls import AnswerHead
@@ -35,7 +35,7 @@
     """
 
     def __init__(
-        self, knowledge: Knowledge, places: RoutedPlaces, table: EndpointTable
+        self, knowledge: Knowledge, places: RoutedAdmission, table: EndpointTable
     ) -> None:
         self.knowledge = knowledge
         self.places = places
@@ -78,7 +78,7 @@
             "load": facts.load(now),
             "load_age_ms": whole_ms(now - facts.reported_at),
             "slots": endpoint.slots,
-            "cold": self.places.cold.is_bound(endpoint, now),
+            "cold": self.places.cold.is_limited(endpoint, now),
             "reading_ms": whole_ms(self.places.work.wait(endpoint.name, now)),
             "list_age_ms": whole_ms(self.knowledge.instance_follower.age()),
             "left_ms": whole_ms(turn.seconds_left()),
--- a/walnutquay/coordination/routed/path.py
+++ b/walnutquay/coordination/routed/path.py
@@ -11,13 +11,13 @@
 from walnutquay.coordination.requests.pathparts import PathParts
 from walnutquay.coordination.requests.paths import RequestPath
 from walnutquay.coordination.requests.slots import Grant, SlotRequest
+from walnutquay.coordination.routed.admission import RoutedAdmission
 from walnutquay.coordination.routed.answers import FailedAnswerError, as_whole
 from walnutquay.coordination.routed.bodies import WatchedExchange, whole_body
 from walnutquay.coordination.routed.budgets import RetryBudgets
 from walnutquay.coordination.routed.calls import EndpointCalls
 from walnutquay.coordination.routed.cascading import Cascading
 from walnutquay.coordination.routed.facts import RoutedFacts
-from walnutquay.coordination.routed.places import RoutedPlaces
 from walnutquay.coordination.routed.ports import Dialect, VersionPolicy
 from walnutquay.coordination.routed.streaming import StreamPassing, tried_every
 from walnutquay.coordination.routed.turn import RoutedArrival, RoutedTurn
@@ -69,7 +69,7 @@
     def __init__(
         self,
         parts: PathParts,
-        places: RoutedPlaces,
+        places: RoutedAdmission,
         knowledge: Knowledge,
         client: HttpClient,
         dialect: Dialect,
--- a/walnutquay/coordination/routed/worknews.py
+++ b/walnutquay/coordination/routed/promptupdates.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from walnutquay.coordination.process.dispatcher import Dispatcher
-from walnutquay.coordination.routed.places import ReadingNote, RoutedPlaces
+from walnutquay.coordination.routed.admission import ReadingNote, RoutedAdmission
 from walnutquay.protocol.messages import Envelope, Message, WorkNews
 from walnutquay.state.process.ids import HallName, VmName
 
@@ -32,14 +32,14 @@
         """
 
 
-class WorkExchange:
+class PromptUpdates:
     """Keeps VMs from sending a request behind a long prompt of another VM.
 
     :param places: where this VM sends its own.
     :param peers: the other VMs.
     """
 
-    def __init__(self, places: RoutedPlaces, peers: Peers) -> None:
+    def __init__(self, places: RoutedAdmission, peers: Peers) -> None:
         self.places = places
         self.peers = peers
         places.listeners.append(self.tell)
--- a/walnutquay/coordination/routed/streaming.py
+++ b/walnutquay/coordination/routed/streaming.py
@@ -8,10 +8,10 @@
 
 from walnutquay.coordination.process.context import Context
 from walnutquay.coordination.requests.slots import Grant
+from walnutquay.coordination.routed.admission import RoutedAdmission
 from walnutquay.coordination.routed.bodies import WatchedBody
 from walnutquay.coordination.routed.budgets import RetryBudgets
 from walnutquay.coordination.routed.facts import RoutedFacts
-from walnutquay.coordination.routed.places import RoutedPlaces
 from walnutquay.coordination.routed.ports import VersionPolicy
 from walnutquay.coordination.routed.turn import RoutedTurn
 from walnutquay.exceptions import EndpointError
@@ -46,7 +46,7 @@
     def __init__(
         self,
         context: Context,
-        places: RoutedPlaces,
+        places: RoutedAdmission,
         versions: VersionPolicy,
         facts: RoutedFacts,
         budgets: RetryBudgets,
--- a/walnutquay/daemon/gateway.py
+++ b/walnutquay/daemon/gateway.py
@@ -25,12 +25,12 @@
 from walnutquay.coordination.requests.crashrecord import CrashRecord
 from walnutquay.coordination.requests.pathparts import PathParts
 from walnutquay.coordination.requests.recorder import TraceRecorder
+from walnutquay.coordination.routed.admission import RoutedAdmission
 from walnutquay.coordination.routed.budgets import RetryBudgets
 from walnutquay.coordination.routed.cascading import Cascading
-from walnutquay.coordination.routed.cold import ColdGate
+from walnutquay.coordination.routed.cold import ColdLimiter
 from walnutquay.coordination.routed.path import RoutedPath
-from walnutquay.coordination.routed.places import RoutedPlaces
-from walnutquay.coordination.routed.worknews import WorkExchange
+from walnutquay.coordination.routed.promptupdates import PromptUpdates
 from walnutquay.coordination.store.relaying import Relay
 from walnutquay.coordination.trials.record import TrialRecord
 from walnutquay.coordination.trials.versions import VersionTrials
@@ -195,7 +195,7 @@
     def _make_path(self) -> RoutedPath:
         table = EndpointTable(self.context.hall, self.context.rng)
         versions = self.versions
-        places = RoutedPlaces(
+        places = RoutedAdmission(
             self.context,
             self.knowledge.instances.book,
             table,
@@ -210,7 +210,7 @@
         )
         self.knowledge.instances.listeners.append(places.on_instance)
         self.knowledge.halls.back_listeners.append(places.cold.on_hall_back)
-        WorkExchange(places, self.peers).listen(self.dispatcher)
+        PromptUpdates(places, self.peers).listen(self.dispatcher)
         crashes = self._make_crashes()
         self.knowledge.instances.restart_listeners.append(crashes.on_endpoint_restarted)
         parts = PathParts(
@@ -227,9 +227,9 @@
             self._make_budgets(),
         )
 
-    def _make_cold(self) -> ColdGate:
+    def _make_cold(self) -> ColdLimiter:
         promises = self.options.promises
-        return ColdGate(
+        return ColdLimiter(
             self.context,
             self.knowledge.instances.book,
             self._service,
@@ -250,7 +250,7 @@
             return False
         return await self.starting.get() is None
 
-    def _make_cascading(self, places: RoutedPlaces) -> Cascading:
+    def _make_cascading(self, places: RoutedAdmission) -> Cascading:
         cascading = Cascading(
             self.context, self.knowledge, places, ModelChoice(), self.peers
         )
