--- a/lab/capacity/costvm.py
+++ b/lab/capacity/costvm.py
@@ -13,11 +13,11 @@
 from walnutquay.coordination.process.context import Context, Timeline, new_incarnation
 from walnutquay.coordination.process.dispatcher import Dispatcher
 from walnutquay.coordination.process.eventlog import EventLog
+from walnutquay.coordination.routed.admission import RoutedAdmission
 from walnutquay.coordination.routed.cascading import Cascading
-from walnutquay.coordination.routed.cold import ColdGate
-from walnutquay.coordination.routed.places import RoutedPlaces
+from walnutquay.coordination.routed.cold import ColdLimiter
+from walnutquay.coordination.routed.promptupdates import PromptUpdates
 from walnutquay.coordination.routed.turn import RoutedArrival, RoutedTurn
-from walnutquay.coordination.routed.worknews import WorkExchange
 from walnutquay.coordination.store.sinks import InstanceSink
 from walnutquay.coordination.trials.versions import VersionTrials
 from walnutquay.protocol import messages as m
@@ -152,11 +152,11 @@
         self.versions = self._make_versions()
         self.places = self._make_places()
         self.sink.listeners.append(self.places.on_instance)
-        WorkExchange(self.places, self.peers).listen(self.dispatcher)
+        PromptUpdates(self.places, self.peers).listen(self.dispatcher)
         self.cascading = Cascading(
             self.context, self.knowledge, self.places, ModelChoice(), self.peers
         )
-        self.dispatcher.on(m.OpinionNews, self.cascading.hear)
+        self.dispatcher.on(m.OpinionNews, self.cascading.receive)
         self._add_endpoints(engines)
         self.numbers = itertools.count()
 
@@ -187,8 +187,8 @@
             PromisesSection(),
         )
 
-    def _make_places(self) -> RoutedPlaces:
-        cold = ColdGate(
+    def _make_places(self) -> RoutedAdmission:
+        cold = ColdLimiter(
             self.context,
             self.sink.book,
             {SERVICE: self.service}.get,
@@ -196,7 +196,7 @@
             1.0,
             0.0,
         )
-        return RoutedPlaces(
+        return RoutedAdmission(
             self.context,
             self.sink.book,
             self.table,
--- a/lab/capacity/processortime.py
+++ b/lab/capacity/processortime.py
@@ -216,7 +216,7 @@
         vm.peers.is_keeper("trials/o")
 
     async def opinions() -> None:
-        cascading.tell_peers()
+        cascading.send_gains()
 
     yield "whether it is a relay", watchers
     yield "whether it is a keeper", keeper
--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -346,7 +346,7 @@
     Mutation(
         "a hall that was emptied: its endpoints are warm at once",
         "daemon/gateway.py",
-        "self.knowledge.halls.back_listeners.append(places.cold.on_hall_back)",
+        "self.knowledge.halls.back_listeners.append(admission.cold.on_hall_back)",
         "pass",
         "tests.coordination.routed.test_cold.HallBackTest",
     ),
@@ -359,7 +359,7 @@
     ),
     Mutation(
         "regions: a route's endpoints are asked wherever they stand",
-        "coordination/routed/places.py",
+        "coordination/routed/admission.py",
         "allowed = within(candidates, need.regions, self.region_of)",
         "allowed = candidates",
         "tests.coordination.requests.test_regions.RouteTest",
--- a/lab/pages/pictures.py
+++ b/lab/pages/pictures.py
@@ -33,7 +33,7 @@
         Participant("Knowledge", "coordination/store/knowledge.py"),
         Participant("RoutedPath", "coordination/routed/path.py"),
         Participant("VersionTrials", "coordination/trials/versions.py"),
-        Participant("RoutedPlaces", "coordination/routed/places.py"),
+        Participant("RoutedAdmission", "coordination/routed/admission.py"),
         Participant("Endpoint"),
     ),
     (
--- a/tests/coordination/requests/test_crashes.py
+++ b/tests/coordination/requests/test_crashes.py
@@ -190,7 +190,7 @@
         await self.until(lambda: not waiting)
         holder = next(worker for worker in self.endpoints.values() if worker.runs)
         # The others are to end first.
-        table = self.gateway.path.places.table
+        table = self.gateway.path.admission.table
         table.of(holder.name).ejected_until = float("inf")
         await self.stream(CRASHING)
         answer = await copy
--- a/tests/coordination/requests/test_failures.py
+++ b/tests/coordination/requests/test_failures.py
@@ -25,7 +25,7 @@
 
     def left_out(self) -> list[str]:
         """:returns: the endpoints that are left out for their failures."""
-        table = self.gateway.path.places.table
+        table = self.gateway.path.admission.table
         return [n for n in self.endpoints if table.of(n).ejected_until > monotonic()]
 
     async def test_it_is_held_against_no_endpoint(self):
@@ -38,7 +38,7 @@
 
     async def test_what_others_answer_is_held_against_the_endpoint(self):
         self.endpoints["p1"].default = Behaviour(status=500)
-        table = self.gateway.path.places.table
+        table = self.gateway.path.admission.table
         while not table.of("p1").failures:
             answer = await self.call("/safe/x")
             self.assertEqual(answer.status, 200)
--- a/tests/coordination/routed/test_cold.py
+++ b/tests/coordination/routed/test_cold.py
@@ -208,7 +208,7 @@
 
     async def test_one_that_turns_cold_again(self):
         await self.write("e1")
-        gate = self.gateway.path.places.cold.endpoints
+        gate = self.gateway.path.admission.cold.endpoints
         await self.until(lambda: not gate.is_cold(E1, monotonic()))
         before = self.runs("e1")
         while self.runs("e1") < before + 3:
@@ -221,7 +221,7 @@
         self.assertLessEqual(self.runs("e1") - before, 1)
 
     async def test_an_entry_that_is_written_again_says_nothing_new(self):
-        gate = self.gateway.path.places.cold.endpoints
+        gate = self.gateway.path.admission.cold.endpoints
         until = gate.facts[E1].until
         await self.write("e1", coldLeftMs=COLD_MS, slots=9)
         book = self.gateway.knowledge.instances.book
--- a/tests/coordination/routed/test_worknews.py
+++ b/tests/coordination/routed/test_promptupdates.py
@@ -8,8 +8,8 @@
 from types import SimpleNamespace
 
 from walnutquay.coordination.process.dispatcher import Dispatcher
-from walnutquay.coordination.routed.places import ReadingNote
-from walnutquay.coordination.routed.worknews import HEAVY_SECONDS, WorkExchange
+from walnutquay.coordination.routed.admission import ReadingNote
+from walnutquay.coordination.routed.promptupdates import HEAVY_SECONDS, PromptUpdates
 from walnutquay.protocol.messages import Envelope, WorkNews
 from walnutquay.state.process.clock import Stamp
 from walnutquay.state.process.ids import EndpointName, HallName
@@ -24,13 +24,13 @@
     return ReadingNote(work, EndpointName("e"), HallName("h"), 0.0, seconds, False, 0.0)
 
 
-class WorkExchangeTest(unittest.IsolatedAsyncioTestCase):
+class PromptUpdatesTest(unittest.IsolatedAsyncioTestCase):
     """VMs hear of what would delay them, and of nothing else."""
 
     def setUp(self) -> None:
         self.told: list[tuple] = []
         self.heard: list[WorkNews] = []
-        places = SimpleNamespace(
+        admission = SimpleNamespace(
             listeners=[],
             hear=self.heard.append,
             work=SimpleNamespace(rate=lambda model: RATE),
@@ -41,8 +41,8 @@
             pass_on_here=lambda *passed: self.passed.append(passed),
         )
         self.dispatcher = Dispatcher()
-        WorkExchange(places, peers).listen(self.dispatcher)
-        self.sent = places.listeners[0]
+        PromptUpdates(admission, peers).listen(self.dispatcher)
+        self.sent = admission.listeners[0]
 
     def test_a_long_prompt_is_told_where_its_engine_is_used(self):
         self.sent(prompt(HEAVY_SECONDS))
--- a/tests/coordination/routed/test_silence.py
+++ b/tests/coordination/routed/test_silence.py
@@ -62,20 +62,20 @@
         )
         await self.until(lambda: self.runs("e1", "e2") == 1)
         dark = next(n for n in ("e1", "e2") if self.endpoints[n].runs)
-        reach = self.gateway.path.places.reach
+        reachability = self.gateway.path.admission.reachability
         # Its port is closed; the connection that is open stays as it is.
         self.endpoints[dark].server.close()
-        await self.until(lambda: dark in reach.unreachable)
+        await self.until(lambda: dark in reachability.unreachable)
         answer = await call
         self.assertEqual((answer.status, answer.whole), (200, True))
         self.assertEqual(self.runs("e1", "e2"), 2)
         self.assertTrue(all(run.left for run in self.endpoints[dark].runs))
 
     async def test_requests_that_wait_share_one_try(self):
-        reach = self.gateway.path.places.reach
+        reachability = self.gateway.path.admission.reachability
         endpoint = self.gateway.knowledge.instances.book.known["e1"]
         before = self.endpoints["e1"].connections
-        tries = [reach.still_there(endpoint) for _ in range(9)]
+        tries = [reachability.still_there(endpoint) for _ in range(9)]
         self.assertTrue(all(await asyncio.gather(*tries)))
         await self.until(lambda: self.endpoints["e1"].connections > before)
         self.assertEqual(self.endpoints["e1"].connections, before + 1)
--- a/tests/coordination/store/test_knowledge.py
+++ b/tests/coordination/store/test_knowledge.py
@@ -144,7 +144,7 @@
 
     async def test_an_endpoint_that_is_gone(self):
         await self.call("/safe/x")
-        places = self.gateway.path.places
+        admission = self.gateway.path.admission
         await self.store.remove("servers", "p1")
         await self.store.remove("servers", "p2")
-        await self.until(lambda: not {"p1", "p2"} & set(places.table.facts))
+        await self.until(lambda: not {"p1", "p2"} & set(admission.table.facts))
--- a/tests/coordination/store/test_restarts.py
+++ b/tests/coordination/store/test_restarts.py
@@ -97,33 +97,33 @@
     """What was known of an earlier start does not hold for the next one."""
 
     async def test_failures_load_and_reading(self):
-        places = self.gateway.path.places
+        admission = self.gateway.path.admission
         name = EndpointName("e1")
         await self.call("/stream/x", b"b", Model="tiny", Token_Count="100,5")
-        facts = places.table.of(name)
+        facts = admission.table.of(name)
         facts.ejected_until = float("inf")
-        places.work.add(name, 100.0, "beginning", 0.0)
+        admission.work.add(name, 100.0, "beginning", 0.0)
         await self.enter("e1", "engine", NEXT)
-        self.assertIsNot(places.table.of(name), facts)
-        self.assertNotIn(name, places.work.busy_until)
+        self.assertIsNot(admission.table.of(name), facts)
+        self.assertNotIn(name, admission.work.busy_until)
 
     async def test_a_place_of_an_earlier_start_is_given_back_to_it(self):
-        places = self.gateway.path.places
+        admission = self.gateway.path.admission
         endpoint = self.gateway.knowledge.instances.book.known[EndpointName("p1")]
         grant = Grant(endpoint, 0.0, WorkKind.QUICK)
-        places.table.of(endpoint.name).in_flight += 1
+        admission.table.of(endpoint.name).in_flight += 1
         await self.enter("p1", "plain", NEXT)
-        places.release(grant)
-        self.assertEqual(places.table.of(endpoint.name).in_flight, 0)
+        admission.release(grant)
+        self.assertEqual(admission.table.of(endpoint.name).in_flight, 0)
 
     async def test_one_that_could_not_be_reached_is_back_at_another_address(self):
-        reach = self.gateway.path.places.reach
+        reachability = self.gateway.path.admission.reachability
         await self.endpoints["p1"].stop()
         self.assertNotEqual((await self.call("/safe/x")).status, 200)
-        await self.until(lambda: "p1" in reach.unreachable)
+        await self.until(lambda: "p1" in reachability.unreachable)
         await self.endpoints["p1"].start()
         await self.enter("p1", "plain", NEXT)
-        self.assertNotIn("p1", reach.unreachable)
+        self.assertNotIn("p1", reachability.unreachable)
         self.assertEqual((await self.call("/safe/x")).status, 200)
 
 
--- a/walnutquay/coordination/routed/places.py
+++ b/walnutquay/coordination/routed/admission.py
@@ -11,9 +11,9 @@
 
 from walnutquay.coordination.process.context import Context
 from walnutquay.coordination.requests.places import Grant, Need
-from walnutquay.coordination.routed.cold import ColdGate
+from walnutquay.coordination.routed.cold import ColdLimiter
 from walnutquay.coordination.routed.promptengines import EngineBeliefs, PromptEngines
-from walnutquay.coordination.routed.reach import Reach
+from walnutquay.coordination.routed.reachability import Reachability
 from walnutquay.protocol.messages import WorkNews
 from walnutquay.state.process.ids import (
     EndpointName,
@@ -62,7 +62,7 @@
     mark: float
 
 
-class RoutedPlaces:
+class RoutedAdmission:
     """Gives out places at endpoints; endpoints have queues of their own.
 
     :param context: what this process shares.
@@ -83,7 +83,7 @@
         allowed: AllowedVersions,
         memory: Callable[[ServiceName], int],
         vms: Callable[[], int],
-        cold: ColdGate,
+        cold: ColdLimiter,
         region_of: Mapping[HallName, RegionName],
     ) -> None:
         self.context = context
@@ -95,7 +95,7 @@
         self.vms = vms
         self.cold = cold
         self.region_of = region_of
-        self.reach = Reach(context, book)
+        self.reachability = Reachability(context, book)
         self.beliefs = EngineBeliefs(context.hall, table, self.work)
         # The prompts that this VM has sent last, by service.
         self.traffic: dict[ServiceName, PromptTraffic] = {}
@@ -142,7 +142,7 @@
                 )
             )
         now = monotonic()
-        left = self.reach.within(left)
+        left = self.reachability.within(left)
         if need.suspect:
             chosen = self._apart(left, need, now)
         elif need.work is not None:
@@ -179,7 +179,7 @@
         """
         endpoint = grant.endpoint
         assert isinstance(endpoint, Instance)
-        self.reach.lost(endpoint, silent)
+        self.reachability.lost(endpoint, silent)
 
     async def still_there(self, grant: Grant) -> bool:
         """Try whether an endpoint that says nothing can be connected to at all.
@@ -188,7 +188,7 @@
         """
         endpoint = grant.endpoint
         assert isinstance(endpoint, Instance)
-        return await self.reach.still_there(endpoint)
+        return await self.reachability.still_there(endpoint)
 
     def _with_work(self, grant: Grant, need: Need) -> Grant:
         """Note the reading that an engine is given."""
@@ -243,7 +243,7 @@
         """
         now = monotonic()
         allowed = within(self.candidates(service), regions, self.region_of)
-        left = self.reach.within(self.cold.open(allowed, now))
+        left = self.reachability.within(self.cold.open(allowed, now))
         open_ones = self.table.open_ones(left, now, frozenset()) or left
         return self._engines(open_ones, service, now) if open_ones else None
 
@@ -343,7 +343,7 @@
             return
         self.table.forget(name)
         self.work.forget(name)
-        self.reach.forget(name)
+        self.reachability.forget(name)
         for number, note in list(self.reading.items()):
             if note.engine == name:
                 del self.reading[number]
@@ -354,7 +354,7 @@
 
     def close(self) -> None:
         """End all probes."""
-        self.reach.close()
+        self.reachability.close()
 
     def release(self, grant: Grant) -> None:
         """:param grant: a place to give back."""
--- a/walnutquay/coordination/routed/calls.py
+++ b/walnutquay/coordination/routed/calls.py
@@ -7,8 +7,8 @@
 import aiohttp
 
 from walnutquay.coordination.requests.places import Grant
+from walnutquay.coordination.routed.admission import RoutedAdmission
 from walnutquay.coordination.routed.budgets import RetryBudgets
-from walnutquay.coordination.routed.places import RoutedPlaces
 from walnutquay.coordination.routed.ports import Dialect
 from walnutquay.coordination.routed.turn import RoutedTurn
 from walnutquay.exceptions import NotStartedError
@@ -31,7 +31,7 @@
 
     :param client: the connections to endpoints.
     :param dialect: writes and reads heads.
-    :param places: forecasts when answers begin.
+    :param admission: forecasts when answers begin.
     :param budgets: this VM's retry budgets.
     :param table: the state of endpoints, which their answers tell.
     """
@@ -40,13 +40,13 @@
         self,
         client: HttpClient,
         dialect: Dialect,
-        places: RoutedPlaces,
+        admission: RoutedAdmission,
         budgets: RetryBudgets,
         table: EndpointTable,
     ) -> None:
         self.client = client
         self.dialect = dialect
-        self.places = places
+        self.admission = admission
         self.budgets = budgets
         self.table = table
 
@@ -60,7 +60,7 @@
         left = turn.seconds_left()
         order = SendOrder(
             instance=grant.name,
-            organisation=arrival.organisation.name if arrival.keyed else None,
+            organisation=arrival.organisation.name if arrival.found_by_key else None,
             seconds_left=left,
             model=turn.model_name,
             last_event=turn.progress.last_event,
@@ -85,11 +85,11 @@
         if not turn.repeatable or self.budgets.of(turn.service).left < MIN_BUDGET:
             return None
         aim = turn.arrival.route.objective_seconds
-        return max(HEAD_AIMS * aim, HEAD_FACTOR * self.places.expected(grant))
+        return max(HEAD_AIMS * aim, HEAD_FACTOR * self.admission.expected(grant))
 
     def _rank(self, turn: RoutedTurn, grant: Grant) -> int | None:
         """Rank a prompt at its engine; None leaves it to the engine."""
-        reading = self.places.reading_of(grant)
+        reading = self.admission.reading_of(grant)
         if reading is None or not turn.streamed:
             return None
         return reading_rank(reading, turn.arrival.route.objective_seconds)
--- a/walnutquay/coordination/routed/cascading.py
+++ b/walnutquay/coordination/routed/cascading.py
@@ -9,8 +9,8 @@
 from typing import Protocol
 
 from walnutquay.coordination.process.context import Context
+from walnutquay.coordination.routed.admission import RoutedAdmission
 from walnutquay.coordination.routed.facts import whole_ms
-from walnutquay.coordination.routed.places import RoutedPlaces
 from walnutquay.coordination.routed.promptengines import PromptEngines
 from walnutquay.coordination.routed.turn import Opinion, RoutedTurn
 from walnutquay.coordination.store.knowledge import Knowledge
@@ -41,7 +41,7 @@
 
     :param context: what this process shares.
     :param knowledge: what is known from the store; here models' prices.
-    :param places: forecasts how soon each model could begin to answer.
+    :param admission: forecasts how soon each model could begin to answer.
     :param choice: weighs the models.
     :param peers: the other VMs, which learn from what this one sees.
     """
@@ -50,13 +50,13 @@
         self,
         context: Context,
         knowledge: Knowledge,
-        places: RoutedPlaces,
+        admission: RoutedAdmission,
         choice: ModelChoice,
         peers: Peers,
     ) -> None:
         self.context = context
         self.knowledge = knowledge
-        self.places = places
+        self.admission = admission
         self.choice = choice
         self.peers = peers
         # What was told last; it is told again only when there is more.
@@ -64,16 +64,16 @@
 
     def start(self) -> None:
         """Begin to tell the other VMs what is learnt here."""
-        self.context.timers.every("opinions", TELL_SECONDS, self.tell_peers)
+        self.context.timers.every("opinions", TELL_SECONDS, self.send_gains)
 
-    def tell_peers(self) -> None:
+    def send_gains(self) -> None:
         """Tell the other VMs what this one has learnt."""
         rows = self.choice.gains.rows()
         if rows != self.told:
             self.told = rows
             self.peers.tell(OpinionNews(rows))
 
-    def hear(self, envelope: Envelope) -> None:
+    def receive(self, envelope: Envelope) -> None:
         """Take in what another VM has learnt.
 
         :param envelope: its message.
@@ -142,9 +142,9 @@
         return Case(
             arrival.route,
             arrival.priority,
-            now - arrival.came,
+            now - arrival.arrived_at,
             arrival.deadline - now,
-            self.places.demand(turn.service),
+            self.admission.demand(turn.service),
             self._forecasts(turn),
         )
 
@@ -152,7 +152,7 @@
         """Forecast what each larger model would take; smaller ones are not asked."""
         route = turn.arrival.route
         asked = -1 if turn.model is None else turn.model
-        engines = self.places.engines_for(turn.service, turn.regions)
+        engines = self.admission.engines_for(turn.service, turn.regions)
         return [
             self._forecast(turn, model, engines)
             if index > asked
--- a/walnutquay/coordination/routed/cold.py
+++ b/walnutquay/coordination/routed/cold.py
@@ -48,7 +48,7 @@
         """
 
 
-class ColdGate:
+class ColdLimiter:
     """Says which endpoints this VM may send to, as some are cold.
 
     :param context: what this process shares.
@@ -166,7 +166,7 @@
             return None
         return quota_of(limit.total, count)
 
-    def is_bound(self, instance: Instance, now: float) -> bool:
+    def is_limited(self, instance: Instance, now: float) -> bool:
         """:param instance: an endpoint.
 
         :param now: monotonic seconds.
@@ -183,7 +183,7 @@
         :returns: seconds until this VM may send it a request, by its coldness alone;
             infinite where it may not until the endpoint is warm.
         """
-        if not self.is_bound(instance, now):
+        if not self.is_limited(instance, now):
             return 0.0
         quota = self.quota(instance)
         if quota is None:
@@ -220,7 +220,7 @@
             now = monotonic()
             found = find()
             open_ones = self.open(found, now)
-            warm = any(not self.is_bound(item, now) for item in open_ones)
+            warm = any(not self.is_limited(item, now) for item in open_ones)
             if warm or (open_ones and self._goes_first(need.priority)):
                 return open_ones
             left = min(
@@ -255,7 +255,7 @@
         :param now: monotonic seconds.
         :returns: whether the endpoint is cold.
         """
-        if not self.is_bound(instance, now):
+        if not self.is_limited(instance, now):
             return False
         quota = self.quota(instance)
         assert quota is not None
--- a/walnutquay/coordination/routed/facts.py
+++ b/walnutquay/coordination/routed/facts.py
@@ -11,7 +11,7 @@
 
 from walnutquay.coordination.requests.outcomes import Arrival
 from walnutquay.coordination.requests.places import Grant
-from walnutquay.coordination.routed.places import RoutedPlaces
+from walnutquay.coordination.routed.admission import RoutedAdmission
 from walnutquay.coordination.routed.turn import RoutedArrival, RoutedTurn
 from walnutquay.coordination.store.knowledge import Knowledge
 from walnutquay.protocol.calls import AnswerHead
@@ -30,15 +30,15 @@
     """Tells what this VM knew when it decided about a request.
 
     :param knowledge: what is known from the store.
-    :param places: the places at endpoints.
+    :param admission: the places at endpoints.
     :param table: what is known of endpoints' load and health.
     """
 
     def __init__(
-        self, knowledge: Knowledge, places: RoutedPlaces, table: EndpointTable
+        self, knowledge: Knowledge, admission: RoutedAdmission, table: EndpointTable
     ) -> None:
         self.knowledge = knowledge
-        self.places = places
+        self.admission = admission
         self.table = table
 
     def received(self, arrival: Arrival) -> Facts:
@@ -78,8 +78,8 @@
             "load": facts.load(now),
             "load_age_ms": whole_ms(now - facts.reported_at),
             "slots": endpoint.slots,
-            "cold": self.places.cold.is_bound(endpoint, now),
-            "reading_ms": whole_ms(self.places.work.wait(endpoint.name, now)),
+            "cold": self.admission.cold.is_limited(endpoint, now),
+            "reading_ms": whole_ms(self.admission.work.wait(endpoint.name, now)),
             "list_age_ms": whole_ms(self.knowledge.instance_follower.age()),
             "left_ms": whole_ms(turn.seconds_left()),
             **_chosen(turn.choice),
--- a/walnutquay/coordination/routed/path.py
+++ b/walnutquay/coordination/routed/path.py
@@ -11,13 +11,13 @@
 from walnutquay.coordination.requests.pathparts import PathParts
 from walnutquay.coordination.requests.paths import RequestPath
 from walnutquay.coordination.requests.places import Grant, Need
+from walnutquay.coordination.routed.admission import RoutedAdmission
 from walnutquay.coordination.routed.answers import FailedAnswerError, as_whole
 from walnutquay.coordination.routed.bodies import WatchedExchange, whole_body
 from walnutquay.coordination.routed.budgets import RetryBudgets
 from walnutquay.coordination.routed.calls import EndpointCalls
 from walnutquay.coordination.routed.cascading import Cascading
 from walnutquay.coordination.routed.facts import RoutedFacts
-from walnutquay.coordination.routed.places import RoutedPlaces
 from walnutquay.coordination.routed.ports import Dialect, VersionPolicy
 from walnutquay.coordination.routed.streaming import StreamPassing, tried_every
 from walnutquay.coordination.routed.turn import RoutedArrival, RoutedTurn
@@ -57,7 +57,7 @@
     """Serves requests on the operators' routes.
 
     :param parts: what it works with.
-    :param places: the places at endpoints, which learn how long reading takes.
+    :param admission: the places at endpoints, which learn how long reading takes.
     :param knowledge: what is known from the store.
     :param client: the connections to endpoints.
     :param dialect: writes and reads heads.
@@ -69,7 +69,7 @@
     def __init__(
         self,
         parts: PathParts,
-        places: RoutedPlaces,
+        admission: RoutedAdmission,
         knowledge: Knowledge,
         client: HttpClient,
         dialect: Dialect,
@@ -78,15 +78,15 @@
         budgets: RetryBudgets,
     ) -> None:
         super().__init__(parts)
-        self.places = places
+        self.admission = admission
         self.knowledge = knowledge
-        self.calls = EndpointCalls(client, dialect, places, budgets, parts.table)
+        self.calls = EndpointCalls(client, dialect, admission, budgets, parts.table)
         self.cascading = cascading
         self.versions = versions
         self.budgets = budgets
-        self.facts = RoutedFacts(knowledge, places, parts.table)
+        self.facts = RoutedFacts(knowledge, admission, parts.table)
         self.streams = StreamPassing(
-            self.context, places, versions, self.facts, self.budgets
+            self.context, admission, versions, self.facts, self.budgets
         )
 
     def facts_received(self, arrival: RoutedArrival) -> Facts:
@@ -186,7 +186,7 @@
         if error.step in (STEP_CONNECT, STEP_REACH):
             # Nothing arrived there, so the next arrival is no repeated one.
             turn.prepaid = True
-            self.places.unreached(grant, error.step == STEP_REACH)
+            self.admission.unreached(grant, error.step == STEP_REACH)
         turn.sends -= 1
         turn.refusals += 1
         turn.tried |= {grant.name}
@@ -203,7 +203,7 @@
         :returns: whether no later start of it is known.
         """
         assert isinstance(grant.endpoint, Instance)
-        return self.places.book.is_current(grant.endpoint)
+        return self.admission.book.is_current(grant.endpoint)
 
     def on_ended(self, turn: RoutedTurn, grant: Grant) -> None:
         """Let another endpoint be asked though all attempts are used up.
@@ -216,7 +216,7 @@
         super().on_ended(turn, grant)
         turn.sends -= 1
         if self.is_current(grant):
-            self.places.unreached(grant, silent=False)
+            self.admission.unreached(grant, silent=False)
 
     def on_failed(self, turn: RoutedTurn, grant: Grant, error: EndpointError) -> None:
         """:param turn: a request that failed.
@@ -229,7 +229,7 @@
         if error.step == STEP_SILENT:
             # What was sent was never acknowledged: it has not arrived.
             turn.prepaid = True
-            self.places.unreached(grant, silent=True)
+            self.admission.unreached(grant, silent=True)
 
     async def give_up(
         self, turn: RoutedTurn, running: Dispatched, error: EndpointError
@@ -296,7 +296,7 @@
             head = self.calls.read_head(grant, answer)
             grant.began = monotonic()
             seconds = grant.began - started
-            self.places.began(grant, seconds)
+            self.admission.began(grant, seconds)
             # Once a stream has begun, only a 200 answer can continue it.
             cannot_resume = turn.progress.begun and head.status != STATUS_OK
             if head.status >= 500 or cannot_resume:
@@ -327,7 +327,7 @@
         if not (turn.streamed and turn.repeatable):
             return exchange
         return WatchedExchange(
-            exchange, tried_every(turn), lambda: self.places.still_there(grant)
+            exchange, tried_every(turn), lambda: self.admission.still_there(grant)
         )
 
     def _learn(
--- a/walnutquay/coordination/routed/worknews.py
+++ b/walnutquay/coordination/routed/promptupdates.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from walnutquay.coordination.process.dispatcher import Dispatcher
-from walnutquay.coordination.routed.places import ReadingNote, RoutedPlaces
+from walnutquay.coordination.routed.admission import ReadingNote, RoutedAdmission
 from walnutquay.protocol.messages import Envelope, Message, WorkNews
 from walnutquay.state.process.ids import HallName, VmName
 
@@ -32,21 +32,21 @@
         """
 
 
-class WorkExchange:
+class PromptUpdates:
     """Keeps VMs from sending a request behind a long prompt of another VM.
 
-    :param places: where this VM sends its own.
+    :param admission: where this VM sends its own.
     :param peers: the other VMs.
     """
 
-    def __init__(self, places: RoutedPlaces, peers: Peers) -> None:
-        self.places = places
+    def __init__(self, admission: RoutedAdmission, peers: Peers) -> None:
+        self.admission = admission
         self.peers = peers
-        places.listeners.append(self.tell)
+        admission.listeners.append(self.tell)
 
     def listen(self, dispatcher: Dispatcher) -> None:
         """:param dispatcher: where the other VMs' messages come from."""
-        dispatcher.on(WorkNews, self.hear)
+        dispatcher.on(WorkNews, self.receive)
 
     def tell(self, note: ReadingNote) -> None:
         """Tell of a prompt that an engine was sent, if it is a long one.
@@ -56,17 +56,17 @@
         if note.seconds < HEAVY_SECONDS:
             return
         work = note.work
-        rate = self.places.work.rate(work.model)
+        rate = self.admission.work.rate(work.model)
         self.peers.tell_users(
             note.hall,
             WorkNews(note.engine, note.seconds, work.beginning, work.model, rate),
         )
 
-    def hear(self, envelope: Envelope) -> None:
+    def receive(self, envelope: Envelope) -> None:
         """Take in what another VM has sent an engine.
 
         :param envelope: its message.
         """
         assert isinstance(envelope.body, WorkNews)
-        self.places.hear(envelope.body)
+        self.admission.hear(envelope.body)
         self.peers.pass_on_here(VmName(envelope.vm), envelope.body)
--- a/walnutquay/coordination/routed/reach.py
+++ b/walnutquay/coordination/routed/reachability.py
@@ -32,7 +32,7 @@
     hall: HallName | None
 
 
-class Reach:
+class Reachability:
     """Knows the endpoints that cannot be connected to, and tries them again.
 
     :param context: what this process shares.
--- a/walnutquay/coordination/routed/streaming.py
+++ b/walnutquay/coordination/routed/streaming.py
@@ -8,10 +8,10 @@
 
 from walnutquay.coordination.process.context import Context
 from walnutquay.coordination.requests.places import Grant
+from walnutquay.coordination.routed.admission import RoutedAdmission
 from walnutquay.coordination.routed.bodies import WatchedBody
 from walnutquay.coordination.routed.budgets import RetryBudgets
 from walnutquay.coordination.routed.facts import RoutedFacts
-from walnutquay.coordination.routed.places import RoutedPlaces
 from walnutquay.coordination.routed.ports import VersionPolicy
 from walnutquay.coordination.routed.turn import RoutedTurn
 from walnutquay.exceptions import EndpointError
@@ -37,7 +37,7 @@
     """Passes streams on.
 
     :param context: what this process shares.
-    :param places: tries endpoints that fall silent.
+    :param admission: tries endpoints that fall silent.
     :param versions: judges the pace of versions on trial.
     :param facts: tells what decided, for the log.
     :param budgets: what retries draw on.
@@ -46,13 +46,13 @@
     def __init__(
         self,
         context: Context,
-        places: RoutedPlaces,
+        admission: RoutedAdmission,
         versions: VersionPolicy,
         facts: RoutedFacts,
         budgets: RetryBudgets,
     ) -> None:
         self.context = context
-        self.places = places
+        self.admission = admission
         self.versions = versions
         self.facts = facts
         self.budgets = budgets
@@ -128,7 +128,7 @@
         budget = self.budgets.of(turn.service)
         if not turn.repeatable or budget.left < 1.0:
             return False
-        if gap < mute_after(turn) and await self.places.still_there(grant):
+        if gap < mute_after(turn) and await self.admission.still_there(grant):
             return False
         turn.prepaid = budget.take()
         return turn.prepaid
--- a/walnutquay/coordination/routed/turn.py
+++ b/walnutquay/coordination/routed/turn.py
@@ -46,8 +46,8 @@
     :param target: path and query as they came.
     :param route: its route.
     :param catalogue_version: the version of the configuration that gave the route.
-    :param came: when it came; monotonic seconds.
-    :param keyed: whether the organisation was found by a key.
+    :param arrived_at: when it came; monotonic seconds.
+    :param found_by_key: whether the organisation was found by a key.
     :param reply: the way back for a stream.
     """
 
@@ -56,8 +56,8 @@
     target: str = field(kw_only=True)
     route: Route = field(kw_only=True)
     catalogue_version: int = field(kw_only=True)
-    came: float = field(default_factory=monotonic, kw_only=True)
-    keyed: bool = True
+    arrived_at: float = field(default_factory=monotonic, kw_only=True)
+    found_by_key: bool = True
     reply: RoutedReply | None = None
 
     def identity(self) -> tuple[bytes, ...]:
@@ -71,7 +71,7 @@
         :returns: whether its first part or a pause took longer than the route's aims.
         """
         first = now if self.first_at is None else self.first_at
-        if first - self.came > self.route.objective_seconds:
+        if first - self.arrived_at > self.route.objective_seconds:
             return True
         return 0.0 < self.route.pause_seconds < self.longest_pause
 
--- a/walnutquay/daemon/gateway.py
+++ b/walnutquay/daemon/gateway.py
@@ -25,12 +25,12 @@
 from walnutquay.coordination.requests.crashrecord import CrashRecord
 from walnutquay.coordination.requests.pathparts import PathParts
 from walnutquay.coordination.requests.recorder import TraceRecorder
+from walnutquay.coordination.routed.admission import RoutedAdmission
 from walnutquay.coordination.routed.budgets import RetryBudgets
 from walnutquay.coordination.routed.cascading import Cascading
-from walnutquay.coordination.routed.cold import ColdGate
+from walnutquay.coordination.routed.cold import ColdLimiter
 from walnutquay.coordination.routed.path import RoutedPath
-from walnutquay.coordination.routed.places import RoutedPlaces
-from walnutquay.coordination.routed.worknews import WorkExchange
+from walnutquay.coordination.routed.promptupdates import PromptUpdates
 from walnutquay.coordination.store.relaying import Relay
 from walnutquay.coordination.trials.record import TrialRecord
 from walnutquay.coordination.trials.versions import VersionTrials
@@ -195,7 +195,7 @@
     def _make_path(self) -> RoutedPath:
         table = EndpointTable(self.context.hall, self.context.rng)
         versions = self.versions
-        places = RoutedPlaces(
+        admission = RoutedAdmission(
             self.context,
             self.knowledge.instances.book,
             table,
@@ -208,28 +208,28 @@
                 for hall, region in self.options.vm.regions.items()
             },
         )
-        self.knowledge.instances.listeners.append(places.on_instance)
-        self.knowledge.halls.back_listeners.append(places.cold.on_hall_back)
-        WorkExchange(places, self.peers).listen(self.dispatcher)
+        self.knowledge.instances.listeners.append(admission.on_instance)
+        self.knowledge.halls.back_listeners.append(admission.cold.on_hall_back)
+        PromptUpdates(admission, self.peers).listen(self.dispatcher)
         crashes = self._make_crashes()
         self.knowledge.instances.restart_listeners.append(crashes.started_again)
         parts = PathParts(
-            self.context, places, table, RetryBudget(), TraceRecorder(), crashes
+            self.context, admission, table, RetryBudget(), TraceRecorder(), crashes
         )
         return RoutedPath(
             parts,
-            places,
+            admission,
             self.knowledge,
             self.client,
             PlatformDialect(),
-            self._make_cascading(places),
+            self._make_cascading(admission),
             versions,
             self._make_budgets(),
         )
 
-    def _make_cold(self) -> ColdGate:
+    def _make_cold(self) -> ColdLimiter:
         promises = self.options.promises
-        return ColdGate(
+        return ColdLimiter(
             self.context,
             self.knowledge.instances.book,
             self._service,
@@ -250,11 +250,11 @@
             return False
         return await self.starting.get() is None
 
-    def _make_cascading(self, places: RoutedPlaces) -> Cascading:
+    def _make_cascading(self, admission: RoutedAdmission) -> Cascading:
         cascading = Cascading(
-            self.context, self.knowledge, places, ModelChoice(), self.peers
+            self.context, self.knowledge, admission, ModelChoice(), self.peers
         )
-        self.dispatcher.on(OpinionNews, cascading.hear)
+        self.dispatcher.on(OpinionNews, cascading.receive)
         return cascading
 
     def _make_budgets(self) -> RetryBudgets:
@@ -327,7 +327,7 @@
         self.context.timeline.emit(EventKind.STOPPED)
         self.knowledge.stop()
         self.versions.stop()
-        self.path.places.close()
+        self.path.admission.close()
         self.crash_record.stop()
         self.path.parts.crashes.close()
         # Both at once: little time is left where requests took long to end.
--- a/walnutquay/daemon/gatewayapi.py
+++ b/walnutquay/daemon/gatewayapi.py
@@ -151,7 +151,7 @@
         return self._response(outcome)
 
     async def _arrival(self, request: BaseRequest) -> RoutedArrival:
-        came = monotonic()
+        arrived_at = monotonic()
         head = _read_head(request)
         body = await self._read_body(request)
         route, organisation, catalogue = await self._admit(request, head)
@@ -162,15 +162,15 @@
             head.request or self.context.new_request(),
             organisation,
             body,
-            came + left,
+            arrived_at + left,
             request_class=route.name,
             head=head,
             method=request.method,
             target=request.raw_path,
             route=route,
             catalogue_version=catalogue.version,
-            came=came,
-            keyed=bool(catalogue.organisations),
+            arrived_at=arrived_at,
+            found_by_key=bool(catalogue.organisations),
             reply=self._reply(request, route),
         )
 
--- a/walnutquay/daemon/metricsapi.py
+++ b/walnutquay/daemon/metricsapi.py
@@ -127,7 +127,7 @@
         for arrival in self.path.under_way.values():
             assert isinstance(arrival, RoutedArrival)
             key = (arrival.organisation.name, arrival.route.name)
-            ages.setdefault(key, []).append(now - arrival.came)
+            ages.setdefault(key, []).append(now - arrival.arrived_at)
         for (organisation, route), waiting in sorted(ages.items()):
             label = f'organisation="{escaped(organisation)}",route="{escaped(route)}"'
             yield f"{PREFIX}_requests_waiting{{{label}}} {len(waiting)}"
@@ -163,7 +163,7 @@
                 state = "emptied"
             elif facts.ejected_until > now:
                 state = "ejected"
-            elif self.path.places.cold.is_bound(item, now):
+            elif self.path.admission.cold.is_limited(item, now):
                 state = "cold"
             else:
                 state = "ready"
