--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -92,8 +92,8 @@
     Mutation(
         "engines: those that cannot be connected to are not waited for",
         "coordination/routed/bodies.py",
-        "given_up = not waiting.done() and not await self.still_there()",
-        "given_up = False",
+        "unreachable = not connecting.done() and not await self.check_reachable()",
+        "unreachable = False",
         "tests.coordination.routed.test_silence.DarkEngineTest",
     ),
     Mutation(
--- a/tests/coordination/routed/test_promptengines.py
+++ b/tests/coordination/routed/test_promptengines.py
@@ -8,9 +8,9 @@
 import unittest
 
 from walnutquay.coordination.routed.promptengines import (
-    OTHER_HALL_WAIT,
-    RUNNING_SECONDS,
-    EngineBeliefs,
+    OTHER_HALL_WAIT_SHARE,
+    SECONDS_PER_RUNNING_REQUEST,
+    EngineState,
     PromptEngines,
 )
 from walnutquay.state.process.ids import (
@@ -56,7 +56,7 @@
         self.work.hear_rate("m", 1e-5 * rng.randint(1, 20))
         subject = rng.choice(["", "a-subject"])
         self.prompt = PromptWork("m", rng.randint(1, 50_000), subject, 4_000)
-        self.aim = rng.choice([0.3, 2.0])
+        self.objective = rng.choice([0.3, 2.0])
         for item in self.engines:
             self.table.report(item.name, rng.randint(0, 30), "", NOW - 1.0)
             if rng.random() < 0.3:
@@ -65,8 +65,8 @@
                 beginning = rng.choice([self.prompt.beginning, "another"])
                 sent_at = NOW - rng.uniform(0.0, 2.0 * KEPT)
                 self.work.add(item.name, rng.uniform(0.0, 20.0), beginning, sent_at)
-        beliefs = EngineBeliefs(HERE, self.table, self.work)
-        self.found = PromptEngines(beliefs, self.engines, KEPT, NOW)
+        engine_state = EngineState(HERE, self.table, self.work)
+        self.found = PromptEngines(engine_state, self.engines, KEPT, NOW)
 
     def times(self, item: Instance) -> tuple[float, float]:
         """:returns: seconds before an engine can begin, and to read the prompt."""
@@ -80,12 +80,14 @@
         facts = self.table.of(item.name)
         slow = facts.slow_by(NOW)
         reading = self.work.reading(item.name, self.prompt, NOW, preferred, KEPT)
-        running = facts.load(NOW) * RUNNING_SECONDS
+        running = facts.load(NOW) * SECONDS_PER_RUNNING_REQUEST
         return (self.work.wait(item.name, NOW) + running) * slow, reading * slow
 
     def harm(self, item: Instance) -> float:
         """:returns: what sending the prompt to an engine counts as."""
-        far = 0.0 if item.hall == HERE else (OTHER_HALL_WAIT * self.aim) ** 2
+        far = (
+            0.0 if item.hall == HERE else (OTHER_HALL_WAIT_SHARE * self.objective) ** 2
+        )
         return sum(self.times(item)) ** 2 + far
 
 
@@ -96,13 +98,13 @@
         for seed in range(SEEDS):
             with self.subTest(seed=seed):
                 drawn = Drawn(seed)
-                best = drawn.found.best(drawn.prompt, drawn.aim)
+                best = drawn.found.best(drawn.prompt, drawn.objective)
                 self.assertIs(best, min(drawn.engines, key=drawn.harm))
 
     def test_its_forecast(self):
         for seed in range(SEEDS):
             with self.subTest(seed=seed):
                 drawn = Drawn(seed)
-                best = drawn.found.best(drawn.prompt, drawn.aim)
-                forecast = drawn.found.forecast(drawn.prompt, drawn.aim)
+                best = drawn.found.best(drawn.prompt, drawn.objective)
+                forecast = drawn.found.forecast(drawn.prompt, drawn.objective)
                 self.assertEqual(forecast, drawn.times(best))
--- a/tests/coordination/routed/test_promptupdates.py
+++ b/tests/coordination/routed/test_promptupdates.py
@@ -8,8 +8,8 @@
 from types import SimpleNamespace
 
 from walnutquay.coordination.process.dispatcher import Dispatcher
-from walnutquay.coordination.routed.admission import ReadingNote
-from walnutquay.coordination.routed.promptupdates import HEAVY_SECONDS, PromptUpdates
+from walnutquay.coordination.routed.admission import PendingPrompt
+from walnutquay.coordination.routed.promptupdates import MIN_SENT_SECONDS, PromptUpdates
 from walnutquay.protocol.messages import Envelope, WorkNews
 from walnutquay.state.process.clock import Stamp
 from walnutquay.state.process.ids import EndpointName, HallName
@@ -18,10 +18,12 @@
 RATE = 0.00002
 
 
-def prompt(seconds: float) -> ReadingNote:
+def prompt(seconds: float) -> PendingPrompt:
     """:returns: a prompt that takes an engine so long to read."""
     work = PromptWork("m", 5000, "", 0)
-    return ReadingNote(work, EndpointName("e"), HallName("h"), 0.0, seconds, False, 0.0)
+    return PendingPrompt(
+        work, EndpointName("e"), HallName("h"), 0.0, seconds, False, 0.0
+    )
 
 
 class PromptUpdatesTest(unittest.IsolatedAsyncioTestCase):
@@ -32,7 +34,7 @@
         self.heard: list[WorkNews] = []
         admission = SimpleNamespace(
             listeners=[],
-            hear=self.heard.append,
+            apply_peer_prompt=self.heard.append,
             work=SimpleNamespace(rate=lambda model: RATE),
         )
         self.passed: list[tuple] = []
@@ -45,17 +47,17 @@
         self.sent = admission.listeners[0]
 
     def test_a_long_prompt_is_told_where_its_engine_is_used(self):
-        self.sent(prompt(HEAVY_SECONDS))
+        self.sent(prompt(MIN_SENT_SECONDS))
         self.assertEqual(
-            self.told, [("h", WorkNews("e", HEAVY_SECONDS, "", "m", RATE))]
+            self.told, [("h", WorkNews("e", MIN_SENT_SECONDS, "", "m", RATE))]
         )
 
     def test_a_short_one_is_not(self):
-        self.sent(prompt(HEAVY_SECONDS * 0.9))
+        self.sent(prompt(MIN_SENT_SECONDS * 0.9))
         self.assertEqual(self.told, [])
 
     async def test_what_another_vm_tells_counts(self):
-        news = WorkNews("e", 0.2, "", "m", RATE)
-        await self.dispatcher.deliver(Envelope("vm", "1", Stamp(1, 0), news))
-        self.assertEqual(self.heard, [news])
-        self.assertEqual(self.passed, [("vm", news)])
+        update = WorkNews("e", 0.2, "", "m", RATE)
+        await self.dispatcher.deliver(Envelope("vm", "1", Stamp(1, 0), update))
+        self.assertEqual(self.heard, [update])
+        self.assertEqual(self.passed, [("vm", update)])
--- a/tests/coordination/routed/test_silence.py
+++ b/tests/coordination/routed/test_silence.py
@@ -75,8 +75,8 @@
         reachability = self.gateway.path.admission.reachability
         endpoint = self.gateway.knowledge.instances.book.known["e1"]
         before = self.endpoints["e1"].connections
-        tries = [reachability.still_there(endpoint) for _ in range(9)]
-        self.assertTrue(all(await asyncio.gather(*tries)))
+        checks = [reachability.check_reachable(endpoint) for _ in range(9)]
+        self.assertTrue(all(await asyncio.gather(*checks)))
         await self.until(lambda: self.endpoints["e1"].connections > before)
         self.assertEqual(self.endpoints["e1"].connections, before + 1)
 
--- a/walnutquay/coordination/routed/__init__.py
+++ b/walnutquay/coordination/routed/__init__.py
@@ -2,6 +2,6 @@
 
 """Requests on the operators' routes: choice of endpoint and model, streams, retries.
 
-It owns what is believed of endpoints' load and models' gains; it hears of long prompts
-and of gains from other VMs, and tells them.
+This package owns the estimates of endpoints' load and of how much confidence larger
+models gain.  It exchanges updates about long prompts and these gains with other VMs.
 """
--- a/walnutquay/coordination/routed/admission.py
+++ b/walnutquay/coordination/routed/admission.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Places at the endpoints that the platform lists."""
+"""Slots at the endpoints that the platform lists."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from walnutquay.coordination.process.context import Context
 from walnutquay.coordination.requests.places import Grant, Need
 from walnutquay.coordination.routed.cold import ColdLimiter
-from walnutquay.coordination.routed.promptengines import EngineBeliefs, PromptEngines
+from walnutquay.coordination.routed.promptengines import EngineState, PromptEngines
 from walnutquay.coordination.routed.reachability import Reachability
 from walnutquay.protocol.messages import WorkNews
 from walnutquay.state.process.ids import (
@@ -32,25 +32,27 @@
 from walnutquay.state.store.instances import Instance, InstanceBook
 from walnutquay.transport.timers import monotonic
 
-# When to come back where no endpoint runs: one that starts is listed within a second.
-NO_ENDPOINT_RETRY = 1.0
-FULL_RETRY = 0.5
+# Retry-After when no endpoint runs: one that starts is listed within a second.
+NO_ENDPOINT_RETRY_SECONDS = 1.0
+# Retry-After when all endpoints are full.
+FULL_RETRY_SECONDS = 0.5
 
-# Which versions of a service may be used, the newest decision first.
+# Returns the versions of a service that may be used, by the newest decision; None for
+# all.
 AllowedVersions = Callable[[ServiceName], frozenset[VersionName] | None]
 
 
 @dataclass(frozen=True, slots=True)
-class ReadingNote:
-    """A prompt that an engine was sent.
+class PendingPrompt:
+    """A prompt that was sent to an engine and whose answer has not begun.
 
     :param work: the prompt.
     :param engine: the engine.
-    :param hall: where it stands.
-    :param wait: the seconds of reading that were known to be before it.
-    :param seconds: the time to read it.
-    :param cached: whether its beginning was thought to be cached there.
-    :param mark: its place among all that the engine was given to read.
+    :param hall: the engine's data hall.
+    :param wait: the reading time that was known to be ahead of it; seconds.
+    :param seconds: its own reading time.
+    :param cached: whether its beginning was assumed to be cached at the engine.
+    :param position: its position in the total reading time assigned to the engine.
     """
 
     work: PromptWork
@@ -59,19 +61,20 @@
     wait: float
     seconds: float
     cached: bool
-    mark: float
+    position: float
 
 
 class RoutedAdmission:
-    """Gives out places at endpoints; endpoints have queues of their own.
-
-    :param context: what this process shares.
-    :param book: the endpoints.
-    :param table: what is known of their load and health.
-    :param allowed: tells which versions may be used.
-    :param memory: tells how many tokens an engine of a service keeps; 0 if unknown.
-    :param vms: tells how many entry VMs there are.
-    :param cold: which endpoints may be sent requests though some are cold.
+    """Grants slots at endpoints, which have queues of their own.
+
+    :param context: the state shared within this process.
+    :param book: the listed endpoints.
+    :param table: the load and health of the endpoints.
+    :param allowed: returns the versions of a service that may be used.
+    :param cached_tokens_of: returns the number of tokens that an engine of a service
+        caches; 0 if unknown.
+    :param vm_count: returns the number of entry VMs.
+    :param cold: limits the requests that cold endpoints receive.
     :param region_of: the region of each data hall.
     """
 
@@ -81,8 +84,8 @@
         book: InstanceBook,
         table: EndpointTable,
         allowed: AllowedVersions,
-        memory: Callable[[ServiceName], int],
-        vms: Callable[[], int],
+        cached_tokens_of: Callable[[ServiceName], int],
+        vm_count: Callable[[], int],
         cold: ColdLimiter,
         region_of: Mapping[HallName, RegionName],
     ) -> None:
@@ -91,24 +94,24 @@
         self.table = table
         self.allowed = allowed
         self.work = WorkTable()
-        self.memory = memory
-        self.vms = vms
+        self.cached_tokens_of = cached_tokens_of
+        self.vm_count = vm_count
         self.cold = cold
         self.region_of = region_of
         self.reachability = Reachability(context, book)
-        self.beliefs = EngineBeliefs(context.hall, table, self.work)
-        # The prompts that this VM has sent last, by service.
+        self.engine_state = EngineState(context.hall, table, self.work)
+        # The prompts that this VM has sent recently, by service.
         self.traffic: dict[ServiceName, PromptTraffic] = {}
-        # The prompts that were sent and whose answers have not begun, by grant.
-        self.reading: dict[int, ReadingNote] = {}
-        # Told of each prompt that is sent.
-        self.listeners: list[Callable[[ReadingNote], None]] = []
+        # Prompts whose answers have not begun, by the id of the grant.
+        self.pending_prompts: dict[int, PendingPrompt] = {}
+        # Called with each prompt that is sent.
+        self.listeners: list[Callable[[PendingPrompt], None]] = []
 
     def candidates(self, service: ServiceName, version: str = "") -> list[Instance]:
-        """:param service: a service.
+        """Return the endpoints of a service that may be used now.
 
-        :param version: the only version to use; empty for those that may be.
-        :returns: the endpoints that may be used now.
+        :param service: the service.
+        :param version: the only version to use; empty for all allowed versions.
         """
         if version:
             return self.book.of_service(service, VersionName(version))
@@ -119,34 +122,35 @@
         return [item for item in found if item.version in allowed]
 
     async def acquire(self, need: Need) -> Result[Grant, Refusal]:
-        """:param need: what for.
+        """Choose an endpoint for a request and take a slot there.
 
-        :returns: a place, or why there is none.
+        :param need: the slot that is requested.
+        :returns: the slot, or the reason why none is available.
         """
         service = ServiceName(need.target)
-        if not self._untried(need):
+        if not self._untried_candidates(need):
             return Error(
                 Refusal(
                     RefusalCode.NO_ENDPOINT,
-                    f"no endpoint of {service} can be asked now",
-                    NO_ENDPOINT_RETRY,
+                    f"no endpoint of {service} is available now",
+                    NO_ENDPOINT_RETRY_SECONDS,
                 )
             )
-        left = await self.cold.wait_for(lambda: self._untried(need), need)
+        left = await self.cold.wait_for(lambda: self._untried_candidates(need), need)
         if not left:
             return Error(
                 Refusal(
                     RefusalCode.NO_ENDPOINT,
-                    f"the endpoints of {service} are cold, and have what they may get",
+                    f"the endpoints of {service} are cold and at their request limit",
                     self.cold.retry_after(),
                 )
             )
         now = monotonic()
         left = self.reachability.within(left)
         if need.suspect:
-            chosen = self._apart(left, need, now)
+            chosen = self._choose_for_suspect(left, need, now)
         elif need.work is not None:
-            chosen = self._for_prompt(left, need, need.work, now)
+            chosen = self._choose_engine(left, need, need.work, now)
         else:
             chosen = self.table.choose(left, now, need.hint, need.tried)
         if chosen is None:
@@ -156,42 +160,42 @@
                 Refusal(
                     RefusalCode.QUEUE_FULL,
                     f"the endpoints of {service} are full",
-                    FULL_RETRY,
+                    FULL_RETRY_SECONDS,
                 )
             )
         self.cold.sent(chosen, now)
         self.table.of(chosen.name).in_flight += 1
         if need.work is None:
             return Ok(Grant(chosen, now, WorkKind.QUICK))
-        return Ok(self._with_work(Grant(chosen, now, WorkKind.PATIENT), need))
+        return Ok(self._record_prompt(Grant(chosen, now, WorkKind.PATIENT), need))
 
-    def _untried(self, need: Need) -> list[Instance]:
-        """Give the endpoints that could serve a request and have not failed it."""
+    def _untried_candidates(self, need: Need) -> list[Instance]:
+        """Return the endpoints that could serve a request and have not failed it."""
         candidates = self.candidates(ServiceName(need.target), need.version)
         allowed = within(candidates, need.regions, self.region_of)
         return [item for item in allowed if item.name not in need.tried]
 
-    def unreached(self, grant: Grant, silent: bool) -> None:
-        """Avoid an endpoint that could not be connected to, until it can be.
+    def mark_unreachable(self, grant: Grant, silent: bool) -> None:
+        """Avoid an endpoint that cannot be connected to until it accepts connections.
 
-        :param grant: the place.
-        :param silent: whether nothing answered at all.
+        :param grant: a slot at the endpoint.
+        :param silent: whether there was no response at all.
         """
         endpoint = grant.endpoint
         assert isinstance(endpoint, Instance)
-        self.reachability.lost(endpoint, silent)
+        self.reachability.mark_unreachable(endpoint, silent)
 
-    async def still_there(self, grant: Grant) -> bool:
-        """Try whether an endpoint that says nothing can be connected to at all.
+    async def check_reachable(self, grant: Grant) -> bool:
+        """Check whether a silent endpoint still accepts connections.
 
-        :param grant: the place.
+        :param grant: a slot at the endpoint.
         """
         endpoint = grant.endpoint
         assert isinstance(endpoint, Instance)
-        return await self.reachability.still_there(endpoint)
+        return await self.reachability.check_reachable(endpoint)
 
-    def _with_work(self, grant: Grant, need: Need) -> Grant:
-        """Note the reading that an engine is given."""
+    def _record_prompt(self, grant: Grant, need: Need) -> Grant:
+        """Record that a prompt is sent to an engine, and notify the listeners."""
         assert need.work is not None
         work, now = need.work, grant.started
         service = ServiceName(need.target)
@@ -199,47 +203,49 @@
         wait = self.work.wait(grant.name, now)
         seconds = self.work.reading(grant.name, work, now, False, kept)
         cached = self.work.has(grant.name, work.beginning, now, kept)
-        mark = self.work.add(grant.name, seconds, work.beginning, now)
+        position = self.work.add(grant.name, seconds, work.beginning, now)
         name = EndpointName(grant.name)
         assert isinstance(grant.endpoint, Instance)
         hall = grant.endpoint.hall
-        note = ReadingNote(work, name, hall, wait, seconds, cached, mark)
-        self.reading[id(grant)] = note
+        pending = PendingPrompt(work, name, hall, wait, seconds, cached, position)
+        self.pending_prompts[id(grant)] = pending
         weight = weight_of(need.priority)
-        self._traffic(service).add(SentPrompt(now, work.tokens, seconds, weight))
+        self._traffic_of(service).add(SentPrompt(now, work.tokens, seconds, weight))
         for listener in self.listeners:
-            listener(note)
+            listener(pending)
         return grant
 
-    def _traffic(self, service: ServiceName) -> PromptTraffic:
+    def _traffic_of(self, service: ServiceName) -> PromptTraffic:
         return self.traffic.setdefault(service, PromptTraffic())
 
     def kept_seconds(self, service: ServiceName, now: float) -> float:
-        """:param service: a service of engines.
+        """Return how long the engines of a service keep a prompt cached.
 
+        :param service: the service.
         :param now: monotonic seconds.
-        :returns: how long its engines keep what they have read.
         """
         engines = len(self.candidates(service))
-        traffic = self._traffic(service)
-        return traffic.kept_seconds(now, self.vms(), engines, self.memory(service))
+        traffic = self._traffic_of(service)
+        return traffic.kept_seconds(
+            now, self.vm_count(), engines, self.cached_tokens_of(service)
+        )
 
     def demand(self, service: ServiceName) -> Demand:
-        """:param service: a service of engines.
+        """Return the current reading load of a service's engines.
 
-        :returns: what its engines get to read at present.
+        :param service: the service.
         """
         engines = len(self.candidates(service))
-        return self._traffic(service).demand(monotonic(), self.vms(), engines)
+        return self._traffic_of(service).demand(monotonic(), self.vm_count(), engines)
 
     def engines_for(
         self, service: ServiceName, regions: frozenset[RegionName] | None = None
     ) -> PromptEngines | None:
-        """Give the engines that a prompt could be sent to now, for a forecast.
+        """Return the engines that a prompt could be sent to now, for a forecast.
 
         :param service: the service.
-        :param regions: the regions in which it may run; None for all.
-        :returns: the engines; None where no endpoint may be sent it now.
+        :param regions: the regions in which the prompt may run; None for all.
+        :returns: the engines; None if no endpoint may be sent the prompt now.
         """
         now = monotonic()
         allowed = within(self.candidates(service), regions, self.region_of)
@@ -247,57 +253,61 @@
         open_ones = self.table.open_ones(left, now, frozenset()) or left
         return self._engines(open_ones, service, now) if open_ones else None
 
-    def reading_of(self, grant: Grant) -> float | None:
-        """:param grant: a place.
+    def reading_seconds_of(self, grant: Grant) -> float | None:
+        """Return the reading time of the prompt that was sent with a grant.
 
-        :returns: seconds to read the prompt that was sent there; None for none.
+        :param grant: the slot.
+        :returns: seconds; None if no prompt is pending there.
         """
-        note = self.reading.get(id(grant))
-        return None if note is None else note.seconds
+        pending = self.pending_prompts.get(id(grant))
+        return None if pending is None else pending.seconds
 
-    def hear(self, news: WorkNews) -> None:
-        """Take in that another VM has sent a prompt.
+    def apply_peer_prompt(self, update: WorkNews) -> None:
+        """Apply an update about a prompt that another VM has sent.
 
-        :param news: what it tells.
+        :param update: the other VM's message.
         """
-        self.work.hear_rate(news.model, news.rate)
-        name = EndpointName(news.endpoint)
+        self.work.hear_rate(update.model, update.rate)
+        name = EndpointName(update.endpoint)
         if name in self.book.known:
-            self.work.add(name, news.seconds, news.beginning, monotonic())
+            self.work.add(name, update.seconds, update.beginning, monotonic())
 
-    def expected(self, grant: Grant) -> float:
-        """:param grant: a place.
+    def expected_answer_seconds(self, grant: Grant) -> float:
+        """Estimate the time until the answer begins.
 
-        :returns: seconds in which the answer is likely to begin; 0 if not known.
+        :param grant: the slot.
+        :returns: seconds; 0 if unknown.
         """
-        note = self.reading.get(id(grant))
-        if note is None:
+        pending = self.pending_prompts.get(id(grant))
+        if pending is None:
             return 0.0
-        return note.wait + note.work.tokens * self.work.rate(note.work.model)
+        return pending.wait + pending.work.tokens * self.work.rate(pending.work.model)
 
     def began(self, grant: Grant, seconds: float) -> None:
-        """Learn from an answer's beginning.
+        """Update the reading estimates when an answer begins.
 
-        :param grant: the place.
-        :param seconds: since it was sent there.
+        :param grant: the slot.
+        :param seconds: the time since the request was sent.
         """
-        note = self.reading.pop(id(grant), None)
-        if note is None:
+        pending = self.pending_prompts.pop(id(grant), None)
+        if pending is None:
             return
-        # Engines read shorter prompts before longer ones, so only the longest of those
-        # that were sent proves that nothing before it is left.
+        # Engines read shorter prompts before longer ones, so only the longest pending
+        # prompt proves that nothing ahead of it is left.
         others = [
-            other for other in self.reading.values() if other.engine == grant.name
+            other
+            for other in self.pending_prompts.values()
+            if other.engine == grant.name
         ]
-        if all(other.seconds <= note.seconds for other in others):
-            self.work.has_read(note.engine, note.mark, monotonic())
-        if note.wait <= 0 and not note.cached:
-            self.work.learn(note.work.model, note.work.tokens, seconds)
+        if all(other.seconds <= pending.seconds for other in others):
+            self.work.has_read(pending.engine, pending.position, monotonic())
+        if pending.wait <= 0 and not pending.cached:
+            self.work.learn(pending.work.model, pending.work.tokens, seconds)
 
-    def _for_prompt(
+    def _choose_engine(
         self, left: list[Instance], need: Need, work: PromptWork, now: float
     ) -> Instance | None:
-        """Choose the engine that is likely to have read a prompt first."""
+        """Choose the engine that is likely to finish reading a prompt first."""
         open_ones = self.table.open_ones(left, now, need.tried)
         if not open_ones:
             return None
@@ -308,20 +318,23 @@
         self, engines: list[Instance], service: ServiceName, now: float
     ) -> PromptEngines:
         kept = self.kept_seconds(service, now)
-        return PromptEngines(self.beliefs, engines, kept, now)
+        return PromptEngines(self.engine_state, engines, kept, now)
 
-    def _apart(self, left: list[Instance], need: Need, now: float) -> Instance | None:
-        """Choose the endpoint that all VMs choose for a request under which one ended.
+    def _choose_for_suspect(
+        self, left: list[Instance], need: Need, now: float
+    ) -> Instance | None:
+        """Choose the endpoint for a request that may have crashed one.
 
-        All tries of the request meet there, and what was beside it is spread over the
-        others: so one more end tells it from most of these, and no two end at a time.
+        All VMs choose the same endpoint, so all attempts of the request run there,
+        while requests that ran beside it are spread over the others.  One more crash
+        then clears most of these, and no two endpoints crash at the same time.
         """
         open_ones = self.table.open_ones(left, now, need.tried) or left
         name = preferred_of([item.name for item in open_ones], need.suspect)
         return next((item for item in open_ones if item.name == name), None)
 
     def _least_loaded(self, left: list[Instance], now: float) -> Instance | None:
-        """Choose where to queue; endpoints that have just refused are left out."""
+        """Return the least loaded endpoint, except those that have just refused."""
         open_ones = [
             item for item in left if self.table.of(item.name).full_until <= now
         ]
@@ -332,11 +345,11 @@
         )
 
     def on_instance(self, name: EndpointName, instance: Instance | None) -> None:
-        """Forget what is known of a start of an endpoint that is gone.
+        """Discard the state of an endpoint's start that is gone.
 
         :param name: the endpoint.
-        :param instance: its entry; None where it has none any more, or is about to
-            have that of a later start.
+        :param instance: its entry; None if it has none, or if the entry of a later
+            start is about to follow.
         """
         self.cold.on_instance(name, instance)
         if instance is not None:
@@ -344,29 +357,35 @@
         self.table.forget(name)
         self.work.forget(name)
         self.reachability.forget(name)
-        for number, note in list(self.reading.items()):
-            if note.engine == name:
-                del self.reading[number]
-        # What came of its last requests may have been noted since it went.
+        for number, pending in list(self.pending_prompts.items()):
+            if pending.engine == name:
+                del self.pending_prompts[number]
+        # Results of its last requests may have been recorded after it was removed.
         known = set(self.book.known) | {name}
         self.table.forget_except(known)
         self.work.forget_except(known)
 
     def close(self) -> None:
-        """End all probes."""
+        """Stop all probes."""
         self.reachability.close()
 
     def release(self, grant: Grant) -> None:
-        """:param grant: a place to give back."""
-        self.reading.pop(id(grant), None)
+        """Release a slot.
+
+        :param grant: the slot.
+        """
+        self.pending_prompts.pop(id(grant), None)
         endpoint = grant.endpoint
         assert isinstance(endpoint, Instance)
-        known = self.book.known.get(endpoint.name)
-        # The places of an earlier start went with it.
-        if known is not None and known.is_same_start(endpoint):
+        current = self.book.known.get(endpoint.name)
+        # Slots of an earlier start no longer count.
+        if current is not None and current.is_same_start(endpoint):
             facts = self.table.of(grant.name)
             facts.in_flight = max(0, facts.in_flight - 1)
 
     def full(self, grant: Grant) -> None:
-        """:param grant: a place that its endpoint did not have after all."""
+        """Record that an endpoint refused a request although a slot was granted.
+
+        :param grant: the slot.
+        """
         self.table.full(grant.name, monotonic())
--- a/walnutquay/coordination/routed/answers.py
+++ b/walnutquay/coordination/routed/answers.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Whole answers of endpoints, good ones and failures."""
+"""Whole answers of endpoints, successful or failed."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class FailedAnswerError(EndpointError):
-    """The endpoint ran the request and answered that it failed.
+    """The endpoint ran the request and answered with a failure.
 
-    :param answer: its answer, for callers where no other can be had.
+    :param answer: the endpoint's answer, returned to the caller if no retry succeeds.
     """
 
     def __init__(self, answer: WholeAnswer, *, peer: str) -> None:
@@ -21,10 +21,10 @@
         self.answer = answer
 
 
-def as_whole(head: AnswerHead, body: bytes) -> WholeAnswer:
-    """:param head: an answer's head.
+def to_whole_answer(head: AnswerHead, body: bytes) -> WholeAnswer:
+    """Combine the head and the body of an answer.
 
-    :param body: its whole body.
-    :returns: both together.
+    :param head: the answer's head.
+    :param body: the whole body.
     """
     return WholeAnswer(head.status, head.content_type, body, head.headers)
--- a/walnutquay/coordination/routed/bodies.py
+++ b/walnutquay/coordination/routed/bodies.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The bodies of endpoints' answers: whole ones, and streams that may fall silent."""
+"""Reads endpoints' answers and detects endpoints that become silent."""
 
 from __future__ import annotations
 
@@ -19,84 +19,84 @@
 )
 from walnutquay.transport.timers import monotonic
 
-# An answer larger than this is not passed on.
+# Larger answers are not passed on; bytes.
 MAX_ANSWER = 32 << 20
 
 
 class WatchedBody:
-    """Yields the pieces of an answer's body, and asks what to do in long gaps.
+    """Yields the chunks of an answer's body and reports gaps between them.
 
     :param answer: the answer.
-    :param every: seconds after which a gap is asked about, and asked again.
-    :param on_gap: told each time how long the gap is by now; returns whether to
-        wait no longer.
+    :param interval: seconds of silence after which ``on_gap`` is called, repeatedly.
+    :param on_gap: receives the length of the gap so far; returns whether to stop
+        waiting.
     """
 
     def __init__(
         self,
         answer: aiohttp.ClientResponse,
-        every: float,
+        interval: float,
         on_gap: Callable[[float], Awaitable[bool]],
     ) -> None:
         self.answer = answer
-        self.every = every
+        self.interval = interval
         self.on_gap = on_gap
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
         while not self.answer.content.at_eof():
-            data = await self._next()
+            data = await self._next_piece()
             if data:
                 yield data
 
-    async def _next(self) -> bytes:
+    async def _next_piece(self) -> bytes:
         reading = asyncio.ensure_future(self.answer.content.readany())
         began = monotonic()
         try:
             while not reading.done():
-                await asyncio.wait([reading], timeout=self.every)
+                await asyncio.wait([reading], timeout=self.interval)
                 if not reading.done() and await self.on_gap(monotonic() - began):
-                    raise EndpointError("it fell silent", step="stream")
+                    raise EndpointError("the stream became silent", step="stream")
             return reading.result()
         finally:
             reading.cancel()
 
 
 class WatchedExchange:
-    """Waits for an answer's head only as long as its endpoint can be connected to.
+    """Waits for an answer's head while its endpoint is reachable.
 
-    An engine that has gone dark is found within a pause of the stream; without it
-    requests waited there until the time for a head was over, 4 s.
+    This detects an unreachable engine within a pause of the stream.  Without it,
+    requests waited there until the timeout for a head, 4 s.
 
     :param exchange: the exchange.
-    :param every: seconds after which the endpoint is tried, and tried again.
-    :param still_there: tries whether the endpoint can be connected to.
+    :param interval: seconds between two checks of the endpoint.
+    :param check_reachable: checks whether the endpoint accepts connections.
     """
 
     def __init__(
         self,
         exchange: Exchange,
-        every: float,
-        still_there: Callable[[], Awaitable[bool]],
+        interval: float,
+        check_reachable: Callable[[], Awaitable[bool]],
     ) -> None:
         self.exchange = exchange
-        self.every = every
-        self.still_there = still_there
+        self.interval = interval
+        self.check_reachable = check_reachable
 
     async def __aenter__(self) -> aiohttp.ClientResponse:
-        waiting = asyncio.ensure_future(self.exchange.__aenter__())
+        connecting = asyncio.ensure_future(self.exchange.__aenter__())
         try:
-            while not waiting.done():
-                await asyncio.wait([waiting], timeout=self.every)
-                given_up = not waiting.done() and not await self.still_there()
-                if given_up and not waiting.done():
+            while not connecting.done():
+                await asyncio.wait([connecting], timeout=self.interval)
+                unreachable = not connecting.done() and not await self.check_reachable()
+                if unreachable and not connecting.done():
                     raise EndpointError(
-                        "it cannot be connected to any more",
+                        "it no longer accepts connections",
                         step=STEP_SILENT,
                         peer=self.exchange.peer,
                     )
-            return waiting.result()
+            return connecting.result()
         finally:
-            waiting.cancel()
+            connecting.cancel()
 
     async def __aexit__(
         self,
@@ -107,10 +107,12 @@
         await self.exchange.__aexit__(kind, error, trace)
 
 
-async def whole_body(answer: aiohttp.ClientResponse, peer: str) -> bytes:
+async def read_whole_body(answer: aiohttp.ClientResponse, peer: str) -> bytes:
     """Read an answer's body.
 
-    :raises EndpointError: if it is not whole, or too large.
+    :param answer: the answer.
+    :param peer: the endpoint's name, for errors.
+    :raises EndpointError: if the body is incomplete or too large.
     """
     watched = ConnectionEnd(answer)
     parts = []
@@ -119,7 +121,9 @@
         size += len(data)
         if size > MAX_ANSWER:
             answer.close()
-            raise EndpointError("the answer is too large", step="answer", peer=peer)
+            raise EndpointError(
+                f"the answer exceeds {MAX_ANSWER} bytes", step="answer", peer=peer
+            )
         parts.append(data)
     watched.check(peer)
     return b"".join(parts)
--- a/walnutquay/coordination/routed/budgets.py
+++ b/walnutquay/coordination/routed/budgets.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Retries that one VM may make, by service."""
+"""Retry budgets of one VM, by service."""
 
 from __future__ import annotations
 
@@ -10,71 +10,71 @@
 from walnutquay.state.routed.retries import RetryWindow
 from walnutquay.transport.timers import monotonic
 
-# Retries of a service that a VM may make besides in its first span: one that starts
-# again may have used its part of the reserve just before.
-FIRST_RETRIES = 2.0
+# A VM's limit on its part of the reserve in the first window after it starts: before a
+# restart it may have used its part already.
+INITIAL_RETRIES = 2.0
 
 
 class RetryBudget:
-    """The retries of one service.
+    """The retry budget of one service.
 
-    :param window: what counts them.
+    :param window: counts first attempts and retries.
     """
 
     def __init__(self, window: RetryWindow) -> None:
         self.window = window
 
     def first_try(self) -> None:
-        """Count a first try."""
+        """Count a first attempt."""
         self.window.first_try(monotonic())
 
     def take(self) -> bool:
-        """:returns: whether one retry may be made; it is then counted."""
+        """Return whether a retry is allowed, and charge it if so."""
         return self.window.take(monotonic())
 
     @property
     def left(self) -> float:
-        """How many retries may be made now."""
+        """The number of retries that are allowed now."""
         return self.window.left(monotonic())
 
 
 class RetryBudgets:
     """One retry budget for each service.
 
-    The fleet's reserve of retries is shared by the VMs that there are: VMs that are
-    added would raise it over the platform's limit otherwise.
+    The fleet's reserve of retries is divided by the number of VMs.  Otherwise adding
+    VMs would raise it above the platform's limit.
 
-    :param share: retries for each first try.
-    :param reserve: retries of one service that all VMs together may make besides.
-    :param seconds: the span in which both hold.
-    :param vms: tells how many VMs there are.
+    :param share: retries allowed per first attempt.
+    :param reserve: additional retries of one service, for all VMs together.
+    :param seconds: the window to which both limits apply.
+    :param vm_count: returns the number of VMs.
     """
 
     def __init__(
-        self, share: float, reserve: float, seconds: float, vms: Callable[[], int]
+        self, share: float, reserve: float, seconds: float, vm_count: Callable[[], int]
     ) -> None:
         self.share = share
         self.reserve = reserve
         self.seconds = seconds
-        self.vms = vms
+        self.vm_count = vm_count
         self.began = monotonic()
-        self.known: dict[ServiceName, RetryBudget] = {}
+        self.by_service: dict[ServiceName, RetryBudget] = {}
 
     def of(self, service: ServiceName) -> RetryBudget:
-        """:param service: a service.
+        """Return the budget of a service with this VM's current part of the reserve.
 
-        :returns: its budget, with this VM's part of the reserve as it is now.
+        :param service: the service.
         """
-        budget = self.known.get(service)
+        budget = self.by_service.get(service)
         if budget is None:
             window = RetryWindow(self.share, 0.0, self.seconds)
-            budget = self.known[service] = RetryBudget(window)
-        budget.window.reserve = self._part()
+            budget = self.by_service[service] = RetryBudget(window)
+        budget.window.reserve = self._reserve_share()
         return budget
 
-    def _part(self) -> float:
-        """Give the part of the reserve that this VM may use now."""
-        part = self.reserve / max(1, self.vms())
+    def _reserve_share(self) -> float:
+        """Return the part of the reserve that this VM may use now."""
+        part = self.reserve / max(1, self.vm_count())
         if monotonic() < self.began + self.seconds:
-            return min(part, FIRST_RETRIES)
+            return min(part, INITIAL_RETRIES)
         return part
--- a/walnutquay/coordination/routed/calls.py
+++ b/walnutquay/coordination/routed/calls.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Calls of endpoints: what is sent to them, and the heads of their answers."""
+"""Sends requests to endpoints and reads the heads of their answers."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 from walnutquay.transport.client import Exchange, HttpClient, header_pairs
 from walnutquay.transport.timers import monotonic
 
-# An answer that has not begun after so many times the time that its prompt should
-# take, and so many times its route's aim, is looked for elsewhere.
-HEAD_FACTOR = 4.0
-HEAD_AIMS = 2.0
-# Retries that must be left for a wait to be given up.
-MIN_BUDGET = 2.0
+# A request is retried elsewhere when its answer's head takes longer than both these
+# multiples: of the estimated time, and of the route's objective.
+HEAD_ESTIMATE_FACTOR = 4.0
+HEAD_OBJECTIVE_FACTOR = 2.0
+# A wait is abandoned only while at least this many retries are left in the budget.
+MIN_RETRIES_LEFT = 2.0
 
 
 class EndpointCalls:
     """Sends routed requests to endpoints.
 
-    :param client: the connections to endpoints.
-    :param dialect: writes and reads heads.
-    :param admission: forecasts when answers begin.
-    :param budgets: this VM's retry budgets.
-    :param table: the state of endpoints, which their answers tell.
+    :param client: the HTTP client for endpoints.
+    :param dialect: encodes request heads and decodes response heads.
+    :param admission: estimates when answers begin.
+    :param budgets: the retry budgets of this VM.
+    :param table: the state of endpoints, updated by the load in their answers.
     """
 
     def __init__(
@@ -51,10 +51,11 @@
         self.table = table
 
     def send(self, turn: RoutedTurn, grant: Grant) -> Exchange:
-        """:param turn: a request.
+        """Prepare the exchange of a request with an endpoint, without starting it.
 
-        :param grant: the endpoint that it goes to.
-        :returns: the exchange with it, not begun yet.
+        :param turn: the request.
+        :param grant: the slot that it was granted.
+        :returns: the exchange.
         """
         arrival = turn.arrival
         left = turn.seconds_left()
@@ -64,7 +65,7 @@
             seconds_left=left,
             model=turn.model_name,
             last_event=turn.progress.last_event,
-            urgency=self._rank(turn, grant),
+            urgency=self._urgency(turn, grant),
         )
         return self.client.request(
             arrival.method,
@@ -73,23 +74,26 @@
             data=arrival.body or None,
             headers=self.dialect.encode_call(arrival.head, order),
             timeout=max(0.01, left),
-            idle=self._head_limit(turn, grant),
+            idle=self._head_timeout(turn, grant),
             repeatable=arrival.route.repeatable,
         )
 
-    def _head_limit(self, turn: RoutedTurn, grant: Grant) -> float | None:
-        """Bound the wait for an answer's head, where another endpoint may be asked.
+    def _head_timeout(self, turn: RoutedTurn, grant: Grant) -> float | None:
+        """Return the timeout for an answer's head, or None if no retry is allowed.
 
-        An endpoint can be silent for ever with its connection up.
+        An endpoint may stay silent indefinitely with its connection open.
         """
-        if not turn.repeatable or self.budgets.of(turn.service).left < MIN_BUDGET:
+        if not turn.repeatable or self.budgets.of(turn.service).left < MIN_RETRIES_LEFT:
             return None
-        aim = turn.arrival.route.objective_seconds
-        return max(HEAD_AIMS * aim, HEAD_FACTOR * self.admission.expected(grant))
+        objective = turn.arrival.route.objective_seconds
+        return max(
+            HEAD_OBJECTIVE_FACTOR * objective,
+            HEAD_ESTIMATE_FACTOR * self.admission.expected_answer_seconds(grant),
+        )
 
-    def _rank(self, turn: RoutedTurn, grant: Grant) -> int | None:
-        """Rank a prompt at its engine; None leaves it to the engine."""
-        reading = self.admission.reading_of(grant)
+    def _urgency(self, turn: RoutedTurn, grant: Grant) -> int | None:
+        """Return a prompt's rank at its engine, or None to leave it to the engine."""
+        reading = self.admission.reading_seconds_of(grant)
         if reading is None or not turn.streamed:
             return None
         return reading_rank(reading, turn.arrival.route.objective_seconds)
@@ -97,10 +101,10 @@
     def read_head(self, grant: Grant, answer: aiohttp.ClientResponse) -> AnswerHead:
         """Read an answer's head.
 
-        :param grant: the endpoint.
-        :param answer: its answer.
+        :param grant: the slot at the endpoint.
+        :param answer: the endpoint's answer.
         :returns: the head.
-        :raises NotStartedError: if the endpoint says that it did not begin.
+        :raises NotStartedError: if the endpoint reports that it did not start it.
         """
         raw = header_pairs(answer)
         head = self.dialect.decode_answer(answer.status, answer.headers, raw)
@@ -109,7 +113,7 @@
             self.table.report(grant.name, load, "", monotonic())
         if head.not_run:
             raise NotStartedError(
-                f"the endpoint did not begin ({head.status})",
+                f"the endpoint did not start the request (status {head.status})",
                 step="refused",
                 peer=grant.name,
             )
--- a/walnutquay/coordination/routed/cascading.py
+++ b/walnutquay/coordination/routed/cascading.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Decides whether a larger model is to answer a routed request, and learns from it."""
+"""Decides whether a larger model answers a routed request, and learns from results."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from walnutquay.coordination.routed.admission import RoutedAdmission
 from walnutquay.coordination.routed.facts import whole_ms
 from walnutquay.coordination.routed.promptengines import PromptEngines
-from walnutquay.coordination.routed.turn import Opinion, RoutedTurn
+from walnutquay.coordination.routed.turn import ModelConfidence, RoutedTurn
 from walnutquay.coordination.store.knowledge import Knowledge
 from walnutquay.protocol.calls import AnswerHead
 from walnutquay.protocol.messages import Envelope, Message, OpinionNews
@@ -22,28 +22,31 @@
 from walnutquay.state.routed.sizing import Case, Forecast, ModelChoice, Step
 from walnutquay.transport.timers import monotonic
 
-# Values are logged to so many digits.
-DIGITS = 3
-# How often VMs tell each other what they have learnt: a new one knows it within two
-# such spans, and a row takes some 60 bytes.
-TELL_SECONDS = 2.0
+# The number of decimal places of logged values.
+LOG_DIGITS = 3
+# The interval at which VMs exchange what they have learnt.  A new VM has it within two
+# intervals, and a row takes some 60 bytes.
+SEND_SECONDS = 2.0
 
 
 class Peers(Protocol):
     """The other entry VMs."""
 
     def tell(self, body: Message) -> None:
-        """:param body: a message to some of them; it may be lost."""
+        """Send a message to some of the VMs; it may be lost.
+
+        :param body: the message.
+        """
 
 
 class Cascading:
     """Chooses the model that answers next.
 
-    :param context: what this process shares.
-    :param knowledge: what is known from the store; here models' prices.
-    :param admission: forecasts how soon each model could begin to answer.
-    :param choice: weighs the models.
-    :param peers: the other VMs, which learn from what this one sees.
+    :param context: the state shared within this process.
+    :param knowledge: the state read from the store; here the prices of models.
+    :param admission: estimates how soon each model could begin to answer.
+    :param choice: evaluates the models.
+    :param peers: the other VMs, which receive what this one has learnt.
     """
 
     def __init__(
@@ -59,24 +62,24 @@
         self.admission = admission
         self.choice = choice
         self.peers = peers
-        # What was told last; it is told again only when there is more.
-        self.told: tuple[GainRow, ...] = ()
+        # The rows that were sent last; they are sent again only when there are more.
+        self.sent_rows: tuple[GainRow, ...] = ()
 
     def start(self) -> None:
-        """Begin to tell the other VMs what is learnt here."""
-        self.context.timers.every("opinions", TELL_SECONDS, self.send_gains)
+        """Start to send the other VMs what is learnt here."""
+        self.context.timers.every("opinions", SEND_SECONDS, self.send_gains)
 
     def send_gains(self) -> None:
-        """Tell the other VMs what this one has learnt."""
+        """Send the other VMs what this one has learnt, if it has changed."""
         rows = self.choice.gains.rows()
-        if rows != self.told:
-            self.told = rows
+        if rows != self.sent_rows:
+            self.sent_rows = rows
             self.peers.tell(OpinionNews(rows))
 
     def receive(self, envelope: Envelope) -> None:
-        """Take in what another VM has learnt.
+        """Apply what another VM has learnt.
 
-        :param envelope: its message.
+        :param envelope: the message.
         """
         body = envelope.body
         assert isinstance(body, OpinionNews)
@@ -87,55 +90,55 @@
         turn: RoutedTurn,
         endpoint: EndpointName,
         head: AnswerHead,
-        may_retry: Callable[[], bool],
+        take_retry: Callable[[], bool],
     ) -> int | None:
-        """Decide whether a larger model is to answer instead of this one.
+        """Decide whether a larger model answers instead of the current one.
 
         :param turn: the request.
-        :param endpoint: who answers it.
+        :param endpoint: the endpoint that answers it.
         :param head: the answer's head.
-        :param may_retry: whether a retry may be made; it is then counted.
-        :returns: the larger model's index; None to keep the answer.
+        :param take_retry: returns whether a retry is allowed, and charges it if so.
+        :returns: the index of the larger model; None to keep the answer.
         """
         if turn.model is None or turn.progress.begun or head.confidence is None:
             return None
         self.learn(turn, head.confidence)
         if turn.model >= len(turn.arrival.route.models) - 1:
             return None
-        step, case = self.next(turn, head.confidence)
-        if step.larger is None or not turn.repeatable or not may_retry():
+        decision, case = self.decide(turn, head.confidence)
+        if decision.larger is None or not turn.repeatable or not take_retry():
             return None
-        turn.first_opinion = Opinion(turn.model, head.confidence)
-        self.tell(turn, endpoint, step, case)
-        return step.larger
+        turn.first_confidence = ModelConfidence(turn.model, head.confidence)
+        self.log_escalation(turn, endpoint, decision, case)
+        return decision.larger
 
-    def learn(self, turn: RoutedTurn, opinion: float) -> None:
-        """Learn from the opinion of a model that answers after a smaller one.
+    def learn(self, turn: RoutedTurn, confidence: float) -> None:
+        """Learn from the confidence of a model that answers after a smaller one.
 
         :param turn: the request.
-        :param opinion: the model's opinion of its answer.
+        :param confidence: the model's confidence in its answer.
         """
-        first = turn.first_opinion
+        first = turn.first_confidence
         if first is None or turn.model is None or turn.model == first.model:
             return
         route = turn.arrival.route
-        self.choice.learn(route, first.model, first.opinion, turn.model, opinion)
+        self.choice.learn(route, first.model, first.confidence, turn.model, confidence)
 
-    def next(self, turn: RoutedTurn, opinion: float) -> tuple[Step, Case]:
+    def decide(self, turn: RoutedTurn, confidence: float) -> tuple[Step, Case]:
         """Decide about an answer of which nothing was sent to the caller yet.
 
         :param turn: the request.
-        :param opinion: the model's opinion of its answer.
-        :returns: what to do, and what it was decided by.
+        :param confidence: the model's confidence in its answer.
+        :returns: the decision and its inputs.
         """
         assert turn.model is not None
         case = self.case_of(turn)
-        return self.choice.next(case, turn.model, opinion), case
+        return self.choice.next(case, turn.model, confidence), case
 
     def case_of(self, turn: RoutedTurn) -> Case:
-        """:param turn: a request.
+        """Collect the inputs of the decision about a request.
 
-        :returns: what its models can do for it now.
+        :param turn: the request.
         """
         arrival = turn.arrival
         now = monotonic()
@@ -149,13 +152,16 @@
         )
 
     def _forecasts(self, turn: RoutedTurn) -> list[Forecast]:
-        """Forecast what each larger model would take; smaller ones are not asked."""
+        """Estimate the waiting and reading time of each larger model.
+
+        Smaller models are not considered.
+        """
         route = turn.arrival.route
-        asked = -1 if turn.model is None else turn.model
+        current_model = -1 if turn.model is None else turn.model
         engines = self.admission.engines_for(turn.service, turn.regions)
         return [
             self._forecast(turn, model, engines)
-            if index > asked
+            if index > current_model
             else Forecast(math.inf, 0.0, self._cost(turn, model))
             for index, model in enumerate(route.models)
         ]
@@ -169,8 +175,8 @@
             return Forecast(0.0, 0.0, cost)
         if engines is None:
             return Forecast(math.inf, 0.0, cost)
-        aim = turn.arrival.route.objective_seconds
-        return Forecast(*engines.forecast(work, aim), cost)
+        objective = turn.arrival.route.objective_seconds
+        return Forecast(*engines.forecast(work, objective), cost)
 
     def _cost(self, turn: RoutedTurn, model: ModelName) -> float:
         catalogue = self.knowledge.catalogue.current
@@ -178,32 +184,32 @@
         models = service.models if service is not None else ()
         return next((item.cost for item in models if item.name == model), 0.0)
 
-    def tell(
-        self, turn: RoutedTurn, endpoint: EndpointName, step: Step, case: Case
+    def log_escalation(
+        self, turn: RoutedTurn, endpoint: EndpointName, decision: Step, case: Case
     ) -> None:
-        """Log that a larger model is asked, with what decided it.
+        """Log that a larger model is used, with the inputs of the decision.
 
         :param turn: the request.
-        :param endpoint: who gave the answer that is dropped.
-        :param step: what was decided.
-        :param case: what by.
+        :param endpoint: the endpoint whose answer is dropped.
+        :param decision: the decision.
+        :param case: its inputs.
         """
-        assert step.larger is not None and turn.first_opinion is not None
-        forecast = case.forecasts[step.larger]
+        assert decision.larger is not None and turn.first_confidence is not None
+        forecast = case.forecasts[decision.larger]
         self.context.metrics.count("escalated")
         self.context.timeline.emit(
             EventKind.ESCALATED,
             request=turn.arrival.request,
             endpoint=endpoint,
-            version=turn.arrival.route.models[step.larger],
+            version=turn.arrival.route.models[decision.larger],
             detail="a larger model's answer is worth more",
-            confidence=turn.first_opinion.opinion,
-            value=round(step.value, DIGITS),
-            kept_value=round(step.kept, DIGITS),
+            confidence=turn.first_confidence.confidence,
+            value=round(decision.value, LOG_DIGITS),
+            kept_value=round(decision.kept, LOG_DIGITS),
             wait_ms=whole_ms(forecast.wait),
             own_reading_ms=whole_ms(forecast.reading),
-            harm=round(case.harm(step.larger), DIGITS),
-            arrivals=round(case.demand.arrivals, DIGITS),
-            busy=round(case.demand.busy, DIGITS),
+            harm=round(case.harm(decision.larger), LOG_DIGITS),
+            arrivals=round(case.demand.arrivals, LOG_DIGITS),
+            busy=round(case.demand.busy, LOG_DIGITS),
             scatter=round(self.choice.gains.scatter(), 1),
         )
--- a/walnutquay/coordination/routed/cold.py
+++ b/walnutquay/coordination/routed/cold.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Keeps this VM's part of the bound on what cold endpoints get."""
+"""Enforces this VM's part of the limit on requests to cold endpoints."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 from walnutquay.transport.timers import monotonic
 
 MILLISECONDS = 1000.0
-# A request waits for a cold endpoint for this part of its aim at the most.
-PATIENCE = 0.5
-# Those that wait look again after so long at the soonest.
-LOOK_SECONDS = 0.02
+# The part of a request's objective for which it waits for a cold endpoint at most.
+MAX_WAIT_SHARE = 0.5
+# The shortest interval at which waiting requests check again.
+MIN_POLL_SECONDS = 0.02
 
 
 class Peers(Protocol):
@@ -39,24 +39,25 @@
 
     @property
     def known(self) -> Mapping[VmName, object]:
-        """Where each VM is; another object whenever the list changes."""
+        """The address of each VM; a new object whenever the list changes."""
 
     def names_near(self, hall: HallName) -> Collection[VmName]:
-        """:param hall: a data hall.
+        """Return the VMs of a data hall, or all VMs if it has none.
 
-        :returns: its VMs; all that there are where it has none.
+        :param hall: the data hall.
         """
 
 
 class ColdLimiter:
-    """Says which endpoints this VM may send to, as some are cold.
+    """Decides which endpoints this VM may send requests to while some are cold.
 
-    :param context: what this process shares.
-    :param book: the endpoints.
-    :param service_of: gives a service as operators have set it; None for unknown ones.
+    :param context: the state shared within this process.
+    :param book: the listed endpoints.
+    :param service_of: returns the configuration of a service; None if unknown.
     :param peers: the other VMs.
-    :param cold_over: so many times what an endpoint bears operators allow in a second.
-    :param cold_extra: requests that they allow in it besides.
+    :param cold_over: the multiple of a cold endpoint's rate that operators allow in a
+        second.
+    :param cold_extra: the number of requests that they allow in it in addition.
     """
 
     def __init__(
@@ -75,46 +76,46 @@
         self.cold_over = cold_over
         self.cold_extra = cold_extra
         self.endpoints = ColdEndpoints()
-        # How long endpoints were to stay cold by the last entry of each; seconds.
-        self.told: dict[EndpointName, float] = {}
-        # This VM's part of what each endpoint may get, by the list of VMs that it was
-        # made of; None where others keep it.
+        # The cold time in the last entry of each endpoint; seconds.
+        self.listed_seconds: dict[EndpointName, float] = {}
+        # This VM's quota of each endpoint, for the list of VMs in ``quota_peers``; None
+        # if only other VMs send to it.
         self.quotas: dict[EndpointName, Quota | None] = {}
-        # Requests that wait until they may be sent to a cold endpoint, by rank.
-        self.waiting: Counter[int] = Counter()
-        self.made_of: Mapping[VmName, object] | None = None
+        # The number of requests that wait for a cold endpoint, by priority.
+        self.waiting_by_priority: Counter[int] = Counter()
+        self.quota_peers: Mapping[VmName, object] | None = None
 
     def on_instance(self, name: EndpointName, instance: Instance | None) -> None:
-        """Take in what an endpoint's entry says.
+        """Apply the cold time in an endpoint's entry, if it has changed.
 
-        An entry is written anew for other reasons too, and says the same then.
+        Entries are also rewritten for other reasons, with the same cold time.
 
         :param name: the endpoint.
-        :param instance: its entry; None where it has none any more.
+        :param instance: its entry; None if it has none any more.
         """
         if instance is None:
-            self.told.pop(name, None)
+            self.listed_seconds.pop(name, None)
             self.quotas.pop(name, None)
             self.endpoints.forget(name)
             return
-        before = self.told.get(name, 0.0)
-        self.told[name] = instance.cold_seconds
+        before = self.listed_seconds.get(name, 0.0)
+        self.listed_seconds[name] = instance.cold_seconds
         if instance.cold_seconds != before:
-            self._turn(instance, instance.cold_seconds, "its entry")
+            self._set_cold(instance, instance.cold_seconds, "its entry")
 
     def on_hall_back(self, hall: HallName) -> None:
-        """Take the endpoints of a hall that was emptied for cold.
+        """Mark the endpoints of a hall that is back in use as cold.
 
-        They had nothing to do, and their entries tell of it some time later.
+        They were idle while the hall was emptied, and their entries say so only later.
 
         :param hall: the data hall.
         """
         for instance in self.book.known.values():
             service = self.service_of(instance.service)
             if instance.hall == hall and service is not None:
-                self._turn(instance, service.cold_seconds, "its hall was emptied")
+                self._set_cold(instance, service.cold_seconds, "its hall was emptied")
 
-    def _turn(self, instance: Instance, seconds: float, source: str) -> None:
+    def _set_cold(self, instance: Instance, seconds: float, source: str) -> None:
         now = monotonic()
         if not self.endpoints.turned_cold(instance.name, seconds, now):
             return
@@ -127,36 +128,38 @@
         self.context.timeline.emit(
             EventKind.ENDPOINT_COLD,
             endpoint=instance.name,
-            detail=f"{instance.service} in {instance.hall}, by {source}",
+            detail=f"{instance.service} in {instance.hall}: {source}",
             cold_ms=round(seconds * MILLISECONDS),
             sends=quota.count if quota is not None else 0,
             sends_ms=round(quota.seconds * MILLISECONDS) if quota is not None else None,
         )
 
     def limit_of(self, service: ServiceName) -> ColdLimit | None:
-        """:param service: a service.
+        """Return the request limit of a service's cold endpoints.
 
-        :returns: what each of its cold endpoints may get; None where nothing is said.
+        :param service: the service.
+        :returns: the limit of each endpoint; None if none is configured.
         """
-        known = self.service_of(service)
-        if known is None or known.cold_per_second <= 0:
+        settings = self.service_of(service)
+        if settings is None or settings.cold_per_second <= 0:
             return None
-        per_second = known.cold_per_second
+        per_second = settings.cold_per_second
         return ColdLimit(per_second, per_second * self.cold_over + self.cold_extra)
 
     def quota(self, instance: Instance) -> Quota | None:
-        """:param instance: an endpoint.
+        """Return the number of requests that this VM may send a cold endpoint.
 
-        :returns: what this VM may send it while it is cold; None for nothing.
+        :param instance: the endpoint.
+        :returns: the quota; None if this VM may send none.
         """
-        if self.made_of is not self.peers.known:
-            self.made_of = self.peers.known
+        if self.quota_peers is not self.peers.known:
+            self.quota_peers = self.peers.known
             self.quotas.clear()
         if instance.name not in self.quotas:
-            self.quotas[instance.name] = self._quota(instance)
+            self.quotas[instance.name] = self._compute_quota(instance)
         return self.quotas[instance.name]
 
-    def _quota(self, instance: Instance) -> Quota | None:
+    def _compute_quota(self, instance: Instance) -> Quota | None:
         limit = self.limit_of(instance.service)
         vms = self.peers.names_near(instance.hall)
         if limit is None or not vms:
@@ -167,21 +170,21 @@
         return quota_of(limit.total, count)
 
     def is_limited(self, instance: Instance, now: float) -> bool:
-        """:param instance: an endpoint.
+        """Return whether an endpoint is cold and its service has a limit for that.
 
+        :param instance: the endpoint.
         :param now: monotonic seconds.
-        :returns: whether it is cold, and operators bound what it gets then.
         """
         if not self.endpoints.is_cold(instance.name, now):
             return False
         return self.limit_of(instance.service) is not None
 
     def seconds_left(self, instance: Instance, now: float) -> float:
-        """:param instance: an endpoint.
+        """Return the time until the limit lets this VM send an endpoint a request.
 
+        :param instance: the endpoint.
         :param now: monotonic seconds.
-        :returns: seconds until this VM may send it a request, by its coldness alone;
-            infinite where it may not until the endpoint is warm.
+        :returns: seconds; infinite if the VM has to wait until the endpoint is warm.
         """
         if not self.is_limited(instance, now):
             return 0.0
@@ -191,69 +194,71 @@
         return self.endpoints.seconds_left(instance.name, quota, now)
 
     def open(self, instances: list[Instance], now: float) -> list[Instance]:
-        """:param instances: some endpoints.
+        """Return the endpoints that this VM may send a request now.
 
+        :param instances: the endpoints to choose from.
         :param now: monotonic seconds.
-        :returns: those that this VM may send a request now.
         """
         if now >= self.endpoints.any_until:
             return instances
         found = [item for item in instances if self.seconds_left(item, now) <= 0]
-        passed_over = len(instances) - len(found)
-        if passed_over:
-            self.context.metrics.count("cold_passed_over", passed_over)
+        skipped = len(instances) - len(found)
+        if skipped:
+            self.context.metrics.count("cold_passed_over", skipped)
         return found
 
     async def wait_for(
         self, find: Callable[[], list[Instance]], need: Need
     ) -> list[Instance]:
-        """Wait until a request may be sent to some endpoint, but not for long.
+        """Wait for a limited time until a request may be sent to some endpoint.
 
-        The more urgent go first, and what would hardly be in time then is not held.
+        More urgent requests go first.  A request that could hardly be answered in time
+        after the wait is refused at once.
 
-        :param find: gives the endpoints that could serve it, whether cold or not.
-        :param need: the request.
-        :returns: the endpoints that may be sent it now; none if it is to be refused.
+        :param find: returns the endpoints that could serve the request, cold or not.
+        :param need: the slot that is requested.
+        :returns: the endpoints that may be sent the request now; empty to refuse it.
         """
-        end = min(need.since + PATIENCE * need.aim, need.deadline)
+        end = min(need.since + MAX_WAIT_SHARE * need.aim, need.deadline)
         while True:
             now = monotonic()
             found = find()
             open_ones = self.open(found, now)
             warm = any(not self.is_limited(item, now) for item in open_ones)
-            if warm or (open_ones and self._goes_first(need.priority)):
+            if warm or (open_ones and self._is_most_urgent(need.priority)):
                 return open_ones
             left = min(
                 (self.seconds_left(item, now) for item in found), default=math.inf
             )
             if now + left > end or now >= end:
                 return []
-            self.waiting[need.priority] += 1
+            self.waiting_by_priority[need.priority] += 1
             try:
-                await asyncio.sleep(max(left, LOOK_SECONDS))
+                await asyncio.sleep(max(left, MIN_POLL_SECONDS))
             finally:
-                self.waiting[need.priority] -= 1
+                self.waiting_by_priority[need.priority] -= 1
 
-    def _goes_first(self, priority: int) -> bool:
-        """Whether no more urgent request waits here."""
+    def _is_most_urgent(self, priority: int) -> bool:
+        """Return whether no more urgent request is waiting here."""
         return not any(
-            count and rank < priority for rank, count in self.waiting.items()
+            count and rank < priority
+            for rank, count in self.waiting_by_priority.items()
         )
 
     def retry_after(self) -> float:
-        """:returns: seconds after which one that is refused should come back.
+        """Return the time after which a refused request should be retried; seconds.
 
-        Those who are refused together return spread over the time in which what each
-        cold endpoint may get comes anew.
+        Requests that are refused together return spread over the time in which the
+        quotas of cold endpoints are renewed.
         """
         return COUNTED_SECONDS * (0.5 + self.context.rng.random())
 
     def sent(self, instance: Instance, now: float) -> bool:
-        """Note that this VM sends an endpoint a request.
+        """Count a request to an endpoint against its quota.
 
         :param instance: the endpoint.
         :param now: monotonic seconds.
-        :returns: whether the endpoint is cold.
+        :returns: whether the endpoint is cold and limited.
         """
         if not self.is_limited(instance, now):
             return False
--- a/walnutquay/coordination/routed/facts.py
+++ b/walnutquay/coordination/routed/facts.py
@@ -1,8 +1,8 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What decided about a routed request, as log lines tell it.
+"""Log fields that show how a routed request was decided.
 
-Names and units of all facts stand in ``docs/OPERATIONS.md``.
+All fields and their units are listed in ``docs/OPERATIONS.md``.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 from walnutquay.transport.timers import monotonic
 
 MILLISECONDS = 1000.0
-# Shares of sessions are logged to so many digits.
+# The number of decimal places of logged shares of sessions.
 SHARE_DIGITS = 3
 
 
 class RoutedFacts:
-    """Tells what this VM knew when it decided about a request.
+    """Collects what this VM knew when it decided about a request.
 
-    :param knowledge: what is known from the store.
-    :param admission: the places at endpoints.
-    :param table: what is known of endpoints' load and health.
+    :param knowledge: the state read from the store.
+    :param admission: grants slots at endpoints.
+    :param table: the load and health of endpoints.
     """
 
     def __init__(
@@ -42,9 +42,10 @@
         self.table = table
 
     def received(self, arrival: Arrival) -> Facts:
-        """:param arrival: a request as it came.
+        """Return the fields of a request that was received.
 
-        :returns: whose it is, what it asks for, and by when.
+        :param arrival: the request.
+        :returns: its organisation, what it requests, and its deadline.
         """
         assert isinstance(arrival, RoutedArrival)
         route = arrival.route
@@ -61,10 +62,11 @@
         }
 
     def dispatched(self, turn: RoutedTurn, grant: Grant) -> Facts:
-        """:param turn: a request that is sent now.
+        """Return the fields of a request that is being dispatched.
 
-        :param grant: the place that it got.
-        :returns: what is known of the endpoint, and how old that is.
+        :param turn: the request.
+        :param grant: the slot that it was granted.
+        :returns: the state of the endpoint, and the age of that state.
         """
         endpoint = grant.endpoint
         assert isinstance(endpoint, Instance)
@@ -82,15 +84,16 @@
             "reading_ms": whole_ms(self.admission.work.wait(endpoint.name, now)),
             "list_age_ms": whole_ms(self.knowledge.instance_follower.age()),
             "left_ms": whole_ms(turn.seconds_left()),
-            **_chosen(turn.choice),
+            **_choice_facts(turn.choice),
         }
 
     def begun(self, turn: RoutedTurn, head: AnswerHead, seconds: float) -> Facts:
-        """:param turn: a request whose answer goes to the caller from now on.
+        """Return the fields of an answer that is now passed on to the caller.
 
+        :param turn: the request.
         :param head: the answer's head.
-        :param seconds: since it was sent to that endpoint.
-        :returns: which model answers, what it thinks of its answer, and how soon.
+        :param seconds: the time since the request was sent to the endpoint.
+        :returns: the model that answers, its confidence, and the time that it took.
         """
         return {
             "model": turn.model_name,
@@ -98,8 +101,8 @@
             "after_ms": whole_ms(seconds),
         }
 
-    def known(self) -> Facts:
-        """:returns: how old what this VM knows is; for requests that it turns away."""
+    def state_age(self) -> Facts:
+        """Return the age of this VM's state, for requests that it refuses."""
         catalogue = self.knowledge.catalogue.current
         return {
             "configuration": catalogue.version if catalogue is not None else None,
@@ -108,8 +111,8 @@
         }
 
 
-def _chosen(choice: VersionChoice | None) -> Facts:
-    """Tell what decided between the version on trial and the old one."""
+def _choice_facts(choice: VersionChoice | None) -> Facts:
+    """Return the fields of the choice between the version on trial and the old one."""
     if choice is None:
         return {}
     return {
@@ -121,8 +124,9 @@
 
 
 def whole_ms(seconds: float) -> int | None:
-    """:param seconds: a time or an age.
+    """Convert a time or an age to whole milliseconds.
 
-    :returns: it in milliseconds; None where it is not known.
+    :param seconds: the time.
+    :returns: milliseconds; None if the time is unknown.
     """
     return round(seconds * MILLISECONDS) if math.isfinite(seconds) else None
--- a/walnutquay/coordination/routed/path.py
+++ b/walnutquay/coordination/routed/path.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The path of requests on the operators' routes: plain calls and streams."""
+"""The request path of the operators' routes: plain calls and streams."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from walnutquay.coordination.requests.paths import RequestPath
 from walnutquay.coordination.requests.places import Grant, Need
 from walnutquay.coordination.routed.admission import RoutedAdmission
-from walnutquay.coordination.routed.answers import FailedAnswerError, as_whole
-from walnutquay.coordination.routed.bodies import WatchedExchange, whole_body
+from walnutquay.coordination.routed.answers import FailedAnswerError, to_whole_answer
+from walnutquay.coordination.routed.bodies import WatchedExchange, read_whole_body
 from walnutquay.coordination.routed.budgets import RetryBudgets
 from walnutquay.coordination.routed.calls import EndpointCalls
 from walnutquay.coordination.routed.cascading import Cascading
 from walnutquay.coordination.routed.facts import RoutedFacts
 from walnutquay.coordination.routed.ports import Dialect, VersionPolicy
-from walnutquay.coordination.routed.streaming import StreamPassing, tried_every
+from walnutquay.coordination.routed.streaming import StreamForwarder, probe_interval
 from walnutquay.coordination.routed.turn import RoutedArrival, RoutedTurn
 from walnutquay.coordination.store.knowledge import Knowledge
 from walnutquay.exceptions import EndpointError, NotStartedError
@@ -38,32 +38,32 @@
 )
 from walnutquay.transport.timers import monotonic
 
-# A request that so many endpoints have turned away is refused, not sent on.
+# A request is refused once more endpoints than this did not start it.
 MAX_REFUSALS = 3
-# When to come back where the chosen endpoints had no room.
-TURNED_AWAY_RETRY = 0.5
-# When to come back where this VM does not know enough yet.
-UNREADY_RETRY = 0.5
-# Timers of the client fire this much before the deadline at the most.
-TIMER_SECONDS = 0.02
+# Retry-After when the chosen endpoints did not start the request.
+REFUSED_RETRY_SECONDS = 0.5
+# Retry-After while the store's state is not loaded.
+NOT_READY_RETRY_SECONDS = 0.5
+# The client's timers fire at most this long before the deadline.
+TIMER_SLACK_SECONDS = 0.02
 CODE_TIMEOUT = "timeout"
 STATUS_OK = 200
-# The index of the model that is asked first: its opinion tells whether it will do, and
-# it reads and costs a small part of what the others do.
-SMALLEST = 0
+# The index of the first model in a cascade.  Its confidence shows whether its answer
+# is good enough, at a small part of the larger models' reading time and cost.
+SMALLEST_MODEL = 0
 
 
 class RoutedPath(RequestPath):
     """Serves requests on the operators' routes.
 
-    :param parts: what it works with.
-    :param admission: the places at endpoints, which learn how long reading takes.
-    :param knowledge: what is known from the store.
-    :param client: the connections to endpoints.
-    :param dialect: writes and reads heads.
-    :param cascading: chooses among models by size.
-    :param versions: chooses among versions while one is rolled out.
-    :param budgets: this VM's retry budgets.
+    :param parts: the components shared by all request paths.
+    :param admission: grants slots at endpoints and learns the reading times of prompts.
+    :param knowledge: the state read from the store.
+    :param client: the HTTP client for endpoints.
+    :param dialect: encodes request heads and decodes response heads.
+    :param cascading: decides whether a larger model answers.
+    :param versions: chooses among versions during a roll-out.
+    :param budgets: the retry budgets of this VM.
     """
 
     def __init__(
@@ -85,64 +85,74 @@
         self.versions = versions
         self.budgets = budgets
         self.facts = RoutedFacts(knowledge, admission, parts.table)
-        self.streams = StreamPassing(
+        self.streams = StreamForwarder(
             self.context, admission, versions, self.facts, self.budgets
         )
 
     def facts_received(self, arrival: RoutedArrival) -> Facts:
-        """:param arrival: a request, for the log."""
+        """Return the log fields of a request that was received.
+
+        :param arrival: the request.
+        """
         return self.facts.received(arrival)
 
     def facts_dispatched(self, turn: RoutedTurn, grant: Grant) -> Facts:
-        """:param turn: a request that is sent now, for the log.
+        """Return the log fields of a request that is being dispatched.
 
-        :param grant: the endpoint.
+        :param turn: the request.
+        :param grant: the slot that it was granted.
         """
         return self.facts.dispatched(turn, grant)
 
     def facts_known(self) -> Facts:
-        """:returns: how old what this VM knows is."""
-        return self.facts.known()
+        """Return the log fields that give the age of this VM's state."""
+        return self.facts.state_age()
 
     def unready(self) -> Refusal | None:
-        """:returns: why this VM knows too little to serve, or None."""
+        """Return a refusal while the store's state is not loaded, else None."""
         if self.knowledge.ready:
             return None
         return Refusal(
             RefusalCode.NOT_READY,
-            "this entry VM does not know the configuration yet",
-            UNREADY_RETRY,
+            "this entry VM has not loaded the configuration yet",
+            NOT_READY_RETRY_SECONDS,
         )
 
     async def run(self, arrival: RoutedArrival, stage: Received) -> Outcome:
-        """Serve a request that may be run.
+        """Choose the service and first model of an accepted request, and run it.
 
         :param arrival: the request.
         :param stage: its stage.
         """
         route = arrival.route
         service = route.destination(self.context.rng.random())
-        chosen = route.models and arrival.head.any_model
+        router_chooses_model = route.models and arrival.head.any_model
         turn = RoutedTurn(
             arrival,
             service,
-            SMALLEST if chosen else None,
+            SMALLEST_MODEL if router_chooses_model else None,
             StreamProgress(arrival.head.last_event),
         )
         self.budgets.of(service).first_try()
         return await self.attempts(turn, stage)
 
     def may_retry(self, turn: RoutedTurn) -> bool:
-        """:param turn: a request that is to be sent once more."""
-        if turn.prepaid:
-            turn.prepaid = False
+        """Return whether the retry budget allows one more attempt, and charge it.
+
+        A retry that was charged before is not charged again.
+
+        :param turn: the request.
+        """
+        if turn.retry_counted:
+            turn.retry_counted = False
             return True
         return self.budgets.of(turn.service).take()
 
     def need_of(self, turn: RoutedTurn) -> Need:
-        """:param turn: the request.
+        """Choose the version that serves a request and describe the slot it needs.
 
-        :returns: what it needs a place for now.
+        :param turn: the request.
+        :returns: the slot that is requested.
         """
         arrival = turn.arrival
         turn.choice = self.versions.version_for(turn)
@@ -156,20 +166,22 @@
         )
 
     def still_allowed(self, turn: RoutedTurn) -> Refusal | None:
-        """:param turn: the request.
+        """Return the refusal of a request that may no longer be sent.
 
-        :returns: why it may not be sent any more, or None.
+        :param turn: the request.
+        :returns: the refusal, or None while the request may be sent.
         """
         if turn.last_refusal is not None:
             return turn.last_refusal
         if turn.seconds_left() > 0:
             return None
-        return Refusal(RefusalCode.DEADLINE, "the request's time is over")
+        return Refusal(RefusalCode.DEADLINE, "the request's deadline has passed")
 
     def on_dispatch(self, turn: RoutedTurn, grant: Grant) -> None:
-        """:param turn: a request that is sent now.
+        """Count an attempt, and report it to the version policy.
 
-        :param grant: the endpoint.
+        :param turn: the request that is being dispatched.
+        :param grant: the slot that it was granted.
         """
         turn.sends += 1
         self.versions.began(turn, grant)
@@ -177,68 +189,70 @@
     def on_not_started(
         self, turn: RoutedTurn, grant: Grant, error: NotStartedError
     ) -> None:
-        """Decide whether another endpoint may be asked.
+        """Decide whether to try another endpoint for a request that was not started.
 
-        :param turn: a request that an endpoint did not begin.
-        :param grant: the endpoint.
-        :param error: how that is known.
+        :param turn: the request.
+        :param grant: the slot at the endpoint that did not start it.
+        :param error: how this was established.
         """
         if error.step in (STEP_CONNECT, STEP_REACH):
-            # Nothing arrived there, so the next arrival is no repeated one.
-            turn.prepaid = True
-            self.admission.unreached(grant, error.step == STEP_REACH)
+            # Nothing reached the endpoint, so the next attempt repeats no delivery.
+            turn.retry_counted = True
+            self.admission.mark_unreachable(grant, error.step == STEP_REACH)
         turn.sends -= 1
         turn.refusals += 1
         turn.tried |= {grant.name}
         if turn.refusals > MAX_REFUSALS or not self.may_retry(turn):
             turn.last_refusal = Refusal(
                 RefusalCode.NO_ENDPOINT,
-                f"{turn.refusals} endpoints of {turn.service} did not take it",
-                TURNED_AWAY_RETRY,
+                f"{turn.refusals} endpoints of {turn.service} did not start it",
+                REFUSED_RETRY_SECONDS,
             )
 
     def is_current(self, grant: Grant) -> bool:
-        """:param grant: an endpoint.
+        """Return whether no later start of the endpoint is known.
 
-        :returns: whether no later start of it is known.
+        :param grant: a slot at the endpoint.
         """
         assert isinstance(grant.endpoint, Instance)
         return self.admission.book.is_current(grant.endpoint)
 
     def on_ended(self, turn: RoutedTurn, grant: Grant) -> None:
-        """Let another endpoint be asked though all attempts are used up.
+        """Allow another attempt although the route's attempts may be used up.
 
-        Attempts bound how many endpoints work on one request; this one does no more.
+        Attempts limit how many endpoints work on one request at the same time, and an
+        endpoint that has crashed no longer works on it.
 
-        :param turn: a request whose endpoint has ended.
-        :param grant: the endpoint.
+        :param turn: the request that the endpoint was running.
+        :param grant: the slot at the endpoint that crashed.
         """
         super().on_ended(turn, grant)
         turn.sends -= 1
         if self.is_current(grant):
-            self.admission.unreached(grant, silent=False)
+            self.admission.mark_unreachable(grant, silent=False)
 
     def on_failed(self, turn: RoutedTurn, grant: Grant, error: EndpointError) -> None:
-        """:param turn: a request that failed.
+        """Record a failed attempt.
 
-        :param grant: the endpoint.
-        :param error: how it failed.
+        :param turn: the request.
+        :param grant: the slot at the endpoint that failed.
+        :param error: the failure.
         """
         if isinstance(error, FailedAnswerError):
             turn.failed_answer = error.answer
         if error.step == STEP_SILENT:
-            # What was sent was never acknowledged: it has not arrived.
-            turn.prepaid = True
-            self.admission.unreached(grant, silent=True)
+            # No data was acknowledged, so the request did not reach the endpoint.
+            turn.retry_counted = True
+            self.admission.mark_unreachable(grant, silent=True)
 
     async def give_up(
         self, turn: RoutedTurn, running: Dispatched, error: EndpointError
     ) -> Outcome:
-        """End a request whose last try has failed.
+        """End a request whose last attempt has failed.
 
         :param turn: the request.
         :param running: its stage.
-        :param error: how it failed.
+        :param error: the failure of the last attempt.
         """
         if turn.progress.begun:
             running.unknown()
@@ -246,7 +260,7 @@
         if isinstance(error, FailedAnswerError):
             running.answered()
             return Whole(error.answer)
-        if turn.seconds_left() <= TIMER_SECONDS:
+        if turn.seconds_left() <= TIMER_SLACK_SECONDS:
             reason = "no answer came in time"
             return Unknown(running.unknown(), reason, CODE_TIMEOUT, 504)
         return Unknown(running.unknown(), f"the endpoint failed: {error}")
@@ -254,11 +268,11 @@
     async def no_place(
         self, turn: RoutedTurn, stage: Received | Continuing, refusal: Refusal
     ) -> Outcome:
-        """End a request for which there is no place.
+        """End a request that was granted no slot.
 
         :param turn: the request.
         :param stage: its stage.
-        :param refusal: why.
+        :param refusal: the reason.
         """
         if turn.progress.begun and isinstance(stage, Continuing):
             stage.unknown()
@@ -266,26 +280,26 @@
         blocked = refusal.code is RefusalCode.ENDS_ENDPOINTS
         answer = turn.failed_answer
         if isinstance(stage, Continuing) and answer is not None and not blocked:
-            # It tells the caller more than that nobody else could be asked.
+            # The endpoint's own error tells the caller more than the missing slot.
             stage.answered()
             return Whole(answer)
         return await super().no_place(turn, stage, refusal)
 
-    # One endpoint.
+    # The exchange with one endpoint.
 
     async def exchange(
         self, turn: RoutedTurn, running: Dispatched, grant: Grant
     ) -> Outcome | Received | Continuing:
-        """Talk to an endpoint.
+        """Send a request to an endpoint and pass its answer on.
 
         :param turn: the request.
         :param running: its stage.
-        :param grant: the endpoint.
+        :param grant: the slot that it was granted.
         """
         try:
             return await self._exchange(turn, running, grant)
         finally:
-            # Also where the caller has left: the session has been in use until now.
+            # Also when the caller disconnected: the session was in use until now.
             self.versions.left(turn, grant)
 
     async def _exchange(
@@ -300,43 +314,51 @@
             # Once a stream has begun, only a 200 answer can continue it.
             cannot_resume = turn.progress.begun and head.status != STATUS_OK
             if head.status >= 500 or cannot_resume:
-                body = await whole_body(answer, grant.name)
+                body = await read_whole_body(answer, grant.name)
                 self.on_whole(turn, grant)
                 self.versions.failed(turn, grant)
-                raise FailedAnswerError(as_whole(head, body), peer=grant.name)
+                raise FailedAnswerError(to_whole_answer(head, body), peer=grant.name)
             self.versions.answer_began(turn, grant, seconds)
             if turn.streamed and head.status == STATUS_OK:
                 may_retry = partial(self.may_retry, turn)
-                larger = self.cascading.larger(turn, grant.name, head, may_retry)
-                if larger is not None:
-                    turn.model = larger
+                larger_model = self.cascading.larger(turn, grant.name, head, may_retry)
+                if larger_model is not None:
+                    turn.model = larger_model
                     return running.go_on()
-                judged = await self.streams.pass_on(turn, head, answer, grant, seconds)
-                self._learn(turn, grant, seconds, judged)
+                pace_evaluated = await self.streams.forward(
+                    turn, head, answer, grant, seconds
+                )
+                self._learn(turn, grant, seconds, pace_evaluated)
                 running.answered()
                 return Streamed(whole=True)
-            body = await whole_body(answer, grant.name)
+            body = await read_whole_body(answer, grant.name)
         self._learn(turn, grant, seconds)
         running.answered()
-        return Whole(as_whole(head, body))
+        return Whole(to_whole_answer(head, body))
 
     def _watched(
         self, turn: RoutedTurn, exchange: Exchange, grant: Grant
     ) -> Exchange | WatchedExchange:
-        """Have an endpoint tried that does not answer, where another may be asked."""
+        """Probe a silent endpoint while waiting for its head, if it may be retried."""
         if not (turn.streamed and turn.repeatable):
             return exchange
         return WatchedExchange(
-            exchange, tried_every(turn), lambda: self.admission.still_there(grant)
+            exchange,
+            probe_interval(turn),
+            lambda: self.admission.check_reachable(grant),
         )
 
     def _learn(
-        self, turn: RoutedTurn, grant: Grant, seconds: float, judged: bool = False
+        self,
+        turn: RoutedTurn,
+        grant: Grant,
+        seconds: float,
+        pace_evaluated: bool = False,
     ) -> None:
         kind = f"{turn.target}/{turn.arrival.route.name}/{turn.model}"
         now = monotonic()
         self.parts.table.succeeded(EndpointName(grant.name), kind, seconds, now)
         self.on_whole(turn, grant)
         self.on_answered(turn)
-        if not judged:
+        if not pace_evaluated:
             self.versions.succeeded(turn, grant, seconds)
--- a/walnutquay/coordination/routed/ports.py
+++ b/walnutquay/coordination/routed/ports.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What the path of routed requests asks of others: heads, and versions."""
+"""Interfaces of the routed request path: encoding of heads and choice of versions."""
 
 from __future__ import annotations
 
@@ -14,73 +14,82 @@
 
 
 class Dialect(Protocol):
-    """Writes heads for endpoints and reads theirs."""
+    """Encodes heads for endpoints and decodes those of their answers."""
 
     def encode_call(
         self, head: CallHead, order: SendOrder
     ) -> Sequence[tuple[str, str]]:
-        """:param head: the caller's head.
+        """Encode the head of a request to an endpoint.
 
-        :param order: what we add.
+        :param head: the caller's head.
+        :param order: the fields that this VM adds.
         """
 
     def decode_answer(
         self, status: int, headers: Mapping[str, str], raw: Iterable[tuple[str, str]]
     ) -> AnswerHead:
-        """:param status: the HTTP status.
+        """Decode the head of an endpoint's answer.
 
-        :param headers: by name without regard to case.
-        :param raw: the same in order, as they came.
+        :param status: the HTTP status.
+        :param headers: the headers, by case-insensitive name.
+        :param raw: the same headers in the order in which they were received.
         """
 
 
 class VersionPolicy(Protocol):
-    """Says which version of a service serves a request, and learns how it went."""
+    """Chooses the version of a service for each request, and learns from results."""
 
     def version_for(self, turn: RoutedTurn) -> VersionChoice | None:
-        """:param turn: the request.
+        """Choose the version that serves a request.
 
-        :returns: which version serves it, and why; None where none is on trial.
+        :param turn: the request.
+        :returns: the version and the reason; None if no version is on trial.
         """
 
     def began(self, turn: RoutedTurn, grant: Grant) -> None:
-        """:param turn: the request.
+        """Record that a request is being sent.
 
-        :param grant: who is sent it.
+        :param turn: the request.
+        :param grant: the slot that it was granted.
         """
 
     def answer_began(self, turn: RoutedTurn, grant: Grant, seconds: float) -> None:
-        """:param turn: the request.
+        """Record that an answer has begun.
 
-        :param grant: who answers.
-        :param seconds: since it was sent.
+        :param turn: the request.
+        :param grant: the slot at the endpoint that answers.
+        :param seconds: the time since the request was sent.
         """
 
     def succeeded(self, turn: RoutedTurn, grant: Grant, seconds: float) -> None:
-        """:param turn: the request.
+        """Record that a request has succeeded.
 
-        :param grant: who answered.
-        :param seconds: until the answer's head, or that of its stream.
+        :param turn: the request.
+        :param grant: the slot at the endpoint that answered.
+        :param seconds: the time until the head of the answer or of its stream.
         """
 
     def paced(
         self, turn: RoutedTurn, grant: Grant, seconds: float, pause: float
     ) -> None:
-        """:param turn: the request.
+        """Record the pace of a stream.
 
-        :param grant: who answers.
-        :param seconds: until the answer's head.
+        :param turn: the request.
+        :param grant: the slot at the endpoint that answers.
+        :param seconds: the time until the answer's head.
         :param pause: the mean time between its first events.
         """
 
     def left(self, turn: RoutedTurn, grant: Grant) -> None:
-        """:param turn: the request, which is over at an endpoint, however it ended.
+        """Record that a request is over at an endpoint, whatever its result.
 
-        :param grant: the endpoint.
+        :param turn: the request.
+        :param grant: the slot at the endpoint.
         """
 
     def failed(self, turn: RoutedTurn, grant: Grant) -> None:
-        """:param turn: the request.
+        """Record that an endpoint ran a request and failed.
 
-        :param grant: who ran it and failed.
+        :param turn: the request.
+        :param grant: the slot at the endpoint.
         """
--- a/walnutquay/coordination/routed/promptengines.py
+++ b/walnutquay/coordination/routed/promptengines.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The choice among engines for a prompt: where it does the least harm."""
+"""Chooses the engine that reads a prompt at the lowest cost."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 from walnutquay.state.routed.work import PromptWork, WorkTable, preferences
 from walnutquay.state.store.instances import Instance
 
-# A wait grows harmful with its square, for only long ones make an answer late; an
-# engine in another data hall, to which bytes have a price, counts as much as a wait
-# of this part of the request's aim.
-OTHER_HALL_WAIT = 0.25
-# What each running request delays the others by: steps take longer with more.
-RUNNING_SECONDS = 0.002
+# The cost of a wait grows with its square, because only long waits make answers late.
+# Traffic to other data halls has a price, so an engine there costs as much as a wait of
+# this part of the request's objective.
+OTHER_HALL_WAIT_SHARE = 0.25
+# The delay that each running request adds: an engine's steps take longer with more.
+SECONDS_PER_RUNNING_REQUEST = 0.002
 
 
 @dataclass(frozen=True, slots=True)
-class EngineBeliefs:
-    """What one VM believes of engines.
+class EngineState:
+    """The state of engines that one VM assumes.
 
     :param hall: the VM's data hall.
-    :param table: their load and health.
-    :param work: the reading that lies before each of them.
+    :param table: the load and health of the engines.
+    :param work: the reading time that is pending at each of them.
     """
 
     hall: HallName
@@ -34,88 +34,99 @@
 
 
 class PromptEngines:
-    """The engines that could read prompts now, and what lies before each of them.
+    """The engines that could read prompts now, with the waiting time at each of them.
 
-    What is the same for all prompts, and for all models that could read one, is looked
-    up once.
+    Values that are the same for all prompts and models are computed once.
 
-    :param beliefs: what is believed of them.
+    :param engine_state: the assumed state of the engines.
     :param engines: the engines; at least one.
-    :param kept: seconds for which they keep what they have read.
+    :param kept_seconds: how long they keep a prompt cached.
     :param now: monotonic seconds.
     """
 
     def __init__(
-        self, beliefs: EngineBeliefs, engines: list[Instance], kept: float, now: float
+        self,
+        engine_state: EngineState,
+        engines: list[Instance],
+        kept_seconds: float,
+        now: float,
     ) -> None:
-        self.beliefs = beliefs
+        self.engine_state = engine_state
         self.engines = engines
-        self.kept = kept
+        self.kept_seconds = kept_seconds
         self.now = now
         self.names = [engine.name for engine in engines]
-        self.is_near = [engine.hall == beliefs.hall for engine in engines]
-        facts = [beliefs.table.of(name) for name in self.names]
-        # How many times as long as usual each takes, and seconds until it could begin.
-        self.slow = [known.slow_by(now) for known in facts]
-        waits = beliefs.work.waits(self.names, now)
+        self.is_near = [engine.hall == engine_state.hall for engine in engines]
+        endpoint_states = [engine_state.table.of(name) for name in self.names]
+        # The slowdown of each engine against its baseline, and seconds until it could
+        # start to read.
+        self.slow = [endpoint_state.slow_by(now) for endpoint_state in endpoint_states]
+        waits = engine_state.work.waits(self.names, now)
         self.waits = [
-            (wait + known.load(now) * RUNNING_SECONDS) * slow
-            for wait, known, slow in zip(waits, facts, self.slow, strict=True)
+            (wait + endpoint_state.load(now) * SECONDS_PER_RUNNING_REQUEST) * slow
+            for wait, endpoint_state, slow in zip(
+                waits, endpoint_states, self.slow, strict=True
+            )
         ]
 
-    def best(self, prompt: PromptWork, aim: float) -> Instance:
-        """:param prompt: the reading of a prompt.
+    def best(self, prompt: PromptWork, objective: float) -> Instance:
+        """Return the engine with the lowest cost for a prompt.
 
-        :param aim: the time in which the answer should begin; seconds.
-        :returns: the engine where waiting and reading do the least harm.
+        :param prompt: the prompt.
+        :param objective: the objective for the beginning of the answer; seconds.
         """
-        return self.engines[self._best(self._readings(prompt), aim)]
+        return self.engines[self._best_index(self._readings(prompt), objective)]
 
-    def forecast(self, prompt: PromptWork, aim: float) -> tuple[float, float]:
-        """:param prompt: the reading of a prompt.
+    def forecast(self, prompt: PromptWork, objective: float) -> tuple[float, float]:
+        """Estimate the waiting and reading time of a prompt at its best engine.
 
-        :param aim: the time in which the answer should begin; seconds.
-        :returns: seconds of reading before the prompt at the best engine, and to read
-            it there.
+        :param prompt: the prompt.
+        :param objective: the objective for the beginning of the answer; seconds.
+        :returns: seconds until the engine starts to read the prompt, and to read it.
         """
         readings = self._readings(prompt)
-        best = self._best(readings, aim)
+        best = self._best_index(readings, objective)
         return self.waits[best], readings[best]
 
     def _readings(self, prompt: PromptWork) -> list[float]:
-        """Give the seconds that each engine takes to read a prompt."""
-        work = self.beliefs.work
+        """Return the seconds that each engine takes to read a prompt."""
+        work = self.engine_state.work
         preferred = self._preferred(prompt.beginning)
-        usual = work.readings(self.names, prompt, self.now, preferred, self.kept)
-        return [seconds * slow for seconds, slow in zip(usual, self.slow, strict=True)]
+        baseline = work.readings(
+            self.names, prompt, self.now, preferred, self.kept_seconds
+        )
+        return [
+            seconds * slow for seconds, slow in zip(baseline, self.slow, strict=True)
+        ]
 
     def _preferred(self, beginning: str) -> set[EndpointName]:
-        """Give the engines that all VMs prefer: of this data hall, and of all.
+        """Return the engines that all VMs prefer: one of this data hall, one of all.
 
-        What is read long is worth the way to the one that has read it.
+        Reusing the cache of the engine that has read a long beginning is worth sending
+        the prompt to another data hall.
         """
         if not beginning:
             return set()
-        numbers = preferences(self.names, beginning)
+        scores = preferences(self.names, beginning)
         near = [
-            number
-            for number, is_near in zip(numbers, self.is_near, strict=True)
+            score
+            for score, is_near in zip(scores, self.is_near, strict=True)
             if is_near
         ]
-        wanted = {max(numbers), max(near, default=None)}
+        best_scores = {max(scores), max(near, default=None)}
         return {
             name
-            for name, number in zip(self.names, numbers, strict=True)
-            if number in wanted
+            for name, score in zip(self.names, scores, strict=True)
+            if score in best_scores
         }
 
-    def _best(self, readings: list[float], aim: float) -> int:
-        """Give the index of the engine where waiting and reading do the least harm."""
-        far = (OTHER_HALL_WAIT * aim) ** 2
-        harms = [
+    def _best_index(self, readings: list[float], objective: float) -> int:
+        """Return the index of the engine with the lowest cost."""
+        far = (OTHER_HALL_WAIT_SHARE * objective) ** 2
+        costs = [
             (wait + reading) ** 2 + (0.0 if is_near else far)
             for wait, reading, is_near in zip(
                 self.waits, readings, self.is_near, strict=True
             )
         ]
-        return harms.index(min(harms))
+        return costs.index(min(costs))
--- a/walnutquay/coordination/routed/promptupdates.py
+++ b/walnutquay/coordination/routed/promptupdates.py
@@ -1,72 +1,77 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Long prompts that engines were given, told between VMs."""
+"""Updates between VMs about long prompts that engines were sent."""
 
 from __future__ import annotations
 
 from typing import Protocol
 
 from walnutquay.coordination.process.dispatcher import Dispatcher
-from walnutquay.coordination.routed.admission import ReadingNote, RoutedAdmission
+from walnutquay.coordination.routed.admission import PendingPrompt, RoutedAdmission
 from walnutquay.protocol.messages import Envelope, Message, WorkNews
 from walnutquay.state.process.ids import HallName, VmName
 
-# Prompts that take an engine less time to read are not told: bytes between data halls
-# have a price, and these delay nobody for long.
-HEAVY_SECONDS = 0.08
+# No updates are sent about prompts with a shorter reading time: traffic between data
+# halls has a price, and these prompts delay others only briefly.
+MIN_SENT_SECONDS = 0.08
 
 
 class Peers(Protocol):
     """The other entry VMs."""
 
     def tell_users(self, hall: HallName, body: Message) -> None:
-        """:param hall: a data hall.
+        """Send a message to the VMs that use a data hall; it may be lost.
 
-        :param body: a message to VMs that use what stands there; it may be lost.
+        :param hall: the data hall.
+        :param body: the message.
         """
 
     def pass_on_here(self, vm: VmName, body: Message) -> None:
-        """:param vm: the VM that told it.
+        """Relay a message to the VMs that use this data hall.
 
-        :param body: a message for those who use what stands in this data hall.
+        :param vm: the VM that sent it.
+        :param body: the message.
         """
 
 
 class PromptUpdates:
-    """Keeps VMs from sending a request behind a long prompt of another VM.
+    """Prevents VMs from queueing requests behind another VM's long prompt.
 
-    :param admission: where this VM sends its own.
+    :param admission: grants this VM's slots, and so sends its prompts.
     :param peers: the other VMs.
     """
 
     def __init__(self, admission: RoutedAdmission, peers: Peers) -> None:
         self.admission = admission
         self.peers = peers
-        admission.listeners.append(self.tell)
+        admission.listeners.append(self.send)
 
     def listen(self, dispatcher: Dispatcher) -> None:
-        """:param dispatcher: where the other VMs' messages come from."""
+        """Register for the other VMs' messages.
+
+        :param dispatcher: dispatches received messages.
+        """
         dispatcher.on(WorkNews, self.receive)
 
-    def tell(self, note: ReadingNote) -> None:
-        """Tell of a prompt that an engine was sent, if it is a long one.
+    def send(self, pending: PendingPrompt) -> None:
+        """Send the other VMs an update about a prompt, if it is a long one.
 
-        :param note: the prompt.
+        :param pending: the prompt.
         """
-        if note.seconds < HEAVY_SECONDS:
+        if pending.seconds < MIN_SENT_SECONDS:
             return
-        work = note.work
+        work = pending.work
         rate = self.admission.work.rate(work.model)
         self.peers.tell_users(
-            note.hall,
-            WorkNews(note.engine, note.seconds, work.beginning, work.model, rate),
+            pending.hall,
+            WorkNews(pending.engine, pending.seconds, work.beginning, work.model, rate),
         )
 
     def receive(self, envelope: Envelope) -> None:
-        """Take in what another VM has sent an engine.
+        """Apply another VM's update.
 
-        :param envelope: its message.
+        :param envelope: the message.
         """
         assert isinstance(envelope.body, WorkNews)
-        self.admission.hear(envelope.body)
+        self.admission.apply_peer_prompt(envelope.body)
         self.peers.pass_on_here(VmName(envelope.vm), envelope.body)
--- a/walnutquay/coordination/routed/reachability.py
+++ b/walnutquay/coordination/routed/reachability.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Which endpoints can be connected to, from this VM."""
+"""Tracks which endpoints accept connections from this VM."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from walnutquay.transport.client import is_reachable
 from walnutquay.transport.timers import monotonic
 
-# How often an endpoint is tried that could not be connected to.
+# The interval between probes of an unreachable endpoint.
 PROBE_SECONDS = 0.3
 
 
 @dataclass(frozen=True, slots=True, eq=False)
-class Unreached:
+class UnreachableEndpoint:
     """An endpoint that cannot be connected to.
 
     :param endpoint: the endpoint.
-    :param hall: the data hall that the way seems cut to; None where the endpoint
-        itself refuses.
+    :param hall: the data hall that seems to be cut off; None if only the endpoint
+        refuses connections.
     """
 
     endpoint: Instance
@@ -33,85 +33,90 @@
 
 
 class Reachability:
-    """Knows the endpoints that cannot be connected to, and tries them again.
+    """Tracks unreachable endpoints and probes them until they accept connections.
 
-    :param context: what this process shares.
-    :param book: the endpoints.
+    :param context: the state shared within this process.
+    :param book: the listed endpoints.
     """
 
     def __init__(self, context: Context, book: InstanceBook) -> None:
         self.context = context
         self.book = book
-        # Endpoints that cannot be connected to, since their last try.
-        self.unreachable: dict[EndpointName, Unreached] = {}
+        # Endpoints whose last connection attempt failed.
+        self.unreachable: dict[EndpointName, UnreachableEndpoint] = {}
         self.probes = Tasks()
-        # Tries that are under way, shared by all who ask.
-        self.tries: dict[EndpointName, asyncio.Task[bool]] = {}
+        # Running checks, shared by all requests that wait for them.
+        self.checks: dict[EndpointName, asyncio.Task[bool]] = {}
 
     def close(self) -> None:
-        """End all probes and tries."""
+        """Stop all probes and checks."""
         self.probes.stop()
 
     def within(self, endpoints: list[Instance]) -> list[Instance]:
-        """Leave out what seems cut off, unless nothing else is left.
+        """Exclude endpoints that seem unreachable, unless no others are left.
 
-        :param endpoints: some endpoints.
+        :param endpoints: the endpoints to choose from.
         """
         halls = {one.hall for one in self.unreachable.values()}
         near = [item for item in endpoints if item.name not in self.unreachable]
         fine = [item for item in near if item.hall not in halls]
         return fine or near or endpoints
 
-    def lost(self, endpoint: Instance, silent: bool) -> None:
-        """Avoid an endpoint that could not be connected to, until it can be.
+    def mark_unreachable(self, endpoint: Instance, silent: bool) -> None:
+        """Avoid an endpoint that cannot be connected to until it accepts connections.
 
         :param endpoint: the endpoint.
-        :param silent: whether nothing answered at all; the way to its whole data
-            hall may be cut then, which is avoided too.
+        :param silent: whether there was no response at all.  The network path to its
+            whole data hall may then be cut, so the hall is avoided too.
         """
         if endpoint.name in self.unreachable:
             return
-        cut = silent and endpoint.hall != self.context.hall
-        unreached = Unreached(endpoint, endpoint.hall if cut else None)
-        self.unreachable[endpoint.name] = unreached
+        hall_suspected = silent and endpoint.hall != self.context.hall
+        unreachable_endpoint = UnreachableEndpoint(
+            endpoint, endpoint.hall if hall_suspected else None
+        )
+        self.unreachable[endpoint.name] = unreachable_endpoint
         self.context.timeline.emit(
             EventKind.ENDPOINT_UNREACHED,
             endpoint=endpoint.name,
             detail=f"{endpoint.service} in {endpoint.hall}",
             silent=silent,
         )
-        self.probes.spawn(self._probe(unreached))
+        self.probes.spawn(self._probe(unreachable_endpoint))
 
     def forget(self, name: EndpointName) -> None:
-        """:param name: an endpoint that has ended, whether it starts again or not."""
+        """Discard the state of an endpoint that is gone or has restarted.
+
+        :param name: the endpoint.
+        """
         self.unreachable.pop(name, None)
 
-    async def still_there(self, endpoint: Instance) -> bool:
-        """Try whether an endpoint that says nothing can be connected to at all.
+    async def check_reachable(self, endpoint: Instance) -> bool:
+        """Check whether a silent endpoint still accepts connections.
 
-        :param endpoint: the endpoint; it is avoided from now on if it cannot.
+        :param endpoint: the endpoint; if the check fails, it is avoided from now on.
         """
         if endpoint.name in self.unreachable or not self.book.is_current(endpoint):
             return False
-        trying = self.tries.get(endpoint.name)
-        if trying is None:
-            trying = self.probes.spawn(_try_twice(endpoint))
-            self.tries[endpoint.name] = trying
-            trying.add_done_callback(lambda _: self.tries.pop(endpoint.name, None))
-        if await asyncio.shield(trying):
+        check = self.checks.get(endpoint.name)
+        if check is None:
+            check = self.probes.spawn(_connect_twice(endpoint))
+            self.checks[endpoint.name] = check
+            check.add_done_callback(lambda _: self.checks.pop(endpoint.name, None))
+        if await asyncio.shield(check):
             return True
-        self.lost(endpoint, silent=True)
+        self.mark_unreachable(endpoint, silent=True)
         return False
 
-    async def _probe(self, unreached: Unreached) -> None:
-        """Try an endpoint again and again, so that no request has to."""
-        name = unreached.endpoint.name
+    async def _probe(self, unreachable_endpoint: UnreachableEndpoint) -> None:
+        """Probe an endpoint until it is reachable, so that no request has to."""
+        name = unreachable_endpoint.endpoint.name
         began = monotonic()
-        while self.unreachable.get(name) is unreached:
+        while self.unreachable.get(name) is unreachable_endpoint:
             await asyncio.sleep(PROBE_SECONDS)
-            if await is_reachable(unreached.endpoint.address):
+            if await is_reachable(unreachable_endpoint.endpoint.address):
                 break
-        if self.unreachable.get(name) is unreached:
+        if self.unreachable.get(name) is unreachable_endpoint:
             del self.unreachable[name]
             self.context.timeline.emit(
                 EventKind.ENDPOINT_REACHED,
@@ -120,7 +125,7 @@
             )
 
 
-async def _try_twice(endpoint: Instance) -> bool:
-    """Try twice: the first packet of a connection may be lost."""
+async def _connect_twice(endpoint: Instance) -> bool:
+    """Connect up to twice: the first packet of a connection may be lost."""
     first = await is_reachable(endpoint.address)
     return first or await is_reachable(endpoint.address)
--- a/walnutquay/coordination/routed/streaming.py
+++ b/walnutquay/coordination/routed/streaming.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Passes the events of streams on to callers, and notices engines that fall silent."""
+"""Forwards the events of streams to callers, and detects engines that become silent."""
 
 from __future__ import annotations
 
@@ -21,26 +21,27 @@
 from walnutquay.transport.client import STEP_BROKEN, ConnectionEnd
 from walnutquay.transport.timers import monotonic
 
-# The pauses that a stream's pace is judged by.
-JUDGED_EVENTS = 3
-# A stream that is silent for so many of the longest good pauses, and for the time that
-# its route gives a first event, goes on elsewhere though its endpoint can be reached:
-# engines that read long prompts are silent too.  Callers leave after eight pauses.
-MUTE_PAUSES = 4.0
-# Of the longest good pause: how often a silent endpoint is tried.
-TRIED_PAUSE = 0.5
-# The same where the route names no pause; seconds.
-MIN_TRIED_SECONDS = 0.2
-
-
-class StreamPassing:
-    """Passes streams on.
-
-    :param context: what this process shares.
-    :param admission: tries endpoints that fall silent.
-    :param versions: judges the pace of versions on trial.
-    :param facts: tells what decided, for the log.
-    :param budgets: what retries draw on.
+# The minimum number of pauses from which the pace of a stream is evaluated.
+PACE_PAUSES = 3
+# A stream continues elsewhere, although its endpoint is reachable, when it is silent
+# for this multiple of the route's longest acceptable pause and for the route's
+# objective for a first event: engines that read long prompts are silent too.  Callers
+# disconnect after eight pauses.
+SILENCE_LIMIT_PAUSES = 4.0
+# The part of the longest acceptable pause between two checks of a silent endpoint.
+PROBE_PAUSE_SHARE = 0.5
+# The minimum of this interval, used if the route sets no pause; seconds.
+MIN_PROBE_SECONDS = 0.2
+
+
+class StreamForwarder:
+    """Forwards streams.
+
+    :param context: the state shared within this process.
+    :param admission: checks endpoints that become silent.
+    :param versions: evaluates the pace of versions on trial.
+    :param facts: provides log fields.
+    :param budgets: the retry budgets of this VM.
     """
 
     def __init__(
@@ -57,7 +58,7 @@
         self.facts = facts
         self.budgets = budgets
 
-    async def pass_on(
+    async def forward(
         self,
         turn: RoutedTurn,
         head: AnswerHead,
@@ -65,15 +66,15 @@
         grant: Grant,
         seconds: float,
     ) -> bool:
-        """Pass whole events on to the caller until the stream has ended.
+        """Forward whole events to the caller until the stream ends.
 
         :param turn: the request.
         :param head: the answer's head.
         :param answer: the answer.
-        :param grant: who answers.
-        :param seconds: until the head.
-        :returns: whether its first events were enough to judge its pace.
-        :raises EndpointError: if it ends early.
+        :param grant: the slot at the endpoint that answers.
+        :param seconds: the time until the head.
+        :returns: whether there were enough events to evaluate the stream's pace.
+        :raises EndpointError: if the stream ends early.
         """
         reply = turn.arrival.reply
         assert reply is not None
@@ -89,63 +90,63 @@
             )
             await reply.begin(head)
         began = monotonic()
-        passed = 0
-        judged = False
+        forwarded = 0
+        pace_evaluated = False
         body = WatchedBody(
             answer,
-            tried_every(turn),
-            lambda gap: self._goes_on_elsewhere(turn, grant, gap),
+            probe_interval(turn),
+            lambda gap: self._should_switch(turn, grant, gap),
         )
         async for data in body:
             events = [e for e in parser.feed(data) if turn.progress.accept(e)]
             if events:
                 turn.arrival.passed(monotonic())
                 await reply.write(b"".join(events))
-            passed += len(events)
-            if passed > JUDGED_EVENTS and not judged:
-                judged = True
-                pause = (monotonic() - began) / (passed - 1)
+            forwarded += len(events)
+            if forwarded > PACE_PAUSES and not pace_evaluated:
+                pace_evaluated = True
+                pause = (monotonic() - began) / (forwarded - 1)
                 self.versions.paced(turn, grant, seconds, pause)
         watched.check(grant.name)
         if parser.buffer:
             raise EndpointError(
                 "the stream ended within an event", step=STEP_BROKEN, peer=grant.name
             )
-        return judged
+        return pace_evaluated
 
-    async def _goes_on_elsewhere(
-        self, turn: RoutedTurn, grant: Grant, gap: float
-    ) -> bool:
-        """Decide whether a silent stream is to go on at another endpoint.
+    async def _should_switch(self, turn: RoutedTurn, grant: Grant, gap: float) -> bool:
+        """Decide whether a silent stream continues at another endpoint.
 
-        An engine that reads a long prompt is silent too, and is waited for; one
-        that cannot be reached any more is not.
+        An engine that reads a long prompt is silent too, and is waited for; one that is
+        no longer reachable is not.
 
         :param turn: the request.
-        :param grant: the endpoint.
+        :param grant: the slot at the silent endpoint.
         :param gap: seconds without an event.
         """
         budget = self.budgets.of(turn.service)
         if not turn.repeatable or budget.left < 1.0:
             return False
-        if gap < mute_after(turn) and await self.admission.still_there(grant):
+        if gap < silence_limit(turn) and await self.admission.check_reachable(grant):
             return False
-        turn.prepaid = budget.take()
-        return turn.prepaid
+        turn.retry_counted = budget.take()
+        return turn.retry_counted
 
 
-def tried_every(turn: RoutedTurn) -> float:
-    """:param turn: a streamed request.
+def probe_interval(turn: RoutedTurn) -> float:
+    """Return the interval at which the endpoint of a silent stream is checked.
 
-    :returns: seconds of silence after which its endpoint is tried, again and again.
+    :param turn: the streamed request.
+    :returns: seconds.
     """
-    return max(MIN_TRIED_SECONDS, TRIED_PAUSE * turn.arrival.route.pause_seconds)
+    return max(MIN_PROBE_SECONDS, PROBE_PAUSE_SHARE * turn.arrival.route.pause_seconds)
 
 
-def mute_after(turn: RoutedTurn) -> float:
-    """:param turn: a streamed request.
+def silence_limit(turn: RoutedTurn) -> float:
+    """Return the length of a silence after which a stream continues elsewhere.
 
-    :returns: seconds of silence after which it goes on elsewhere.
+    :param turn: the streamed request.
+    :returns: seconds.
     """
     route = turn.arrival.route
-    return max(MUTE_PAUSES * route.pause_seconds, route.objective_seconds)
+    return max(SILENCE_LIMIT_PAUSES * route.pause_seconds, route.objective_seconds)
--- a/walnutquay/coordination/routed/turn.py
+++ b/walnutquay/coordination/routed/turn.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""A routed request: as it came, and on its way."""
+"""A routed request: as received, and while it is being served."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 class RoutedReply(Protocol):
-    """The way back to the caller of a stream."""
+    """The response to the caller of a stream."""
 
     async def begin(self, head: AnswerHead) -> None:
         """Send the status and the headers.
 
-        :param head: the first endpoint's.
+        :param head: the head of the first endpoint's answer.
         """
 
     async def write(self, data: bytes) -> None:
@@ -39,16 +39,16 @@
 
 @dataclass(slots=True)
 class RoutedArrival(Arrival):
-    """A request on one of the operators' routes.
+    """A request that was received on one of the operators' routes.
 
     :param head: its head.
     :param method: the HTTP method.
-    :param target: path and query as they came.
+    :param target: the path and query as received.
     :param route: its route.
-    :param catalogue_version: the version of the configuration that gave the route.
-    :param arrived_at: when it came; monotonic seconds.
-    :param found_by_key: whether the organisation was found by a key.
-    :param reply: the way back for a stream.
+    :param catalogue_version: the version of the configuration that contains the route.
+    :param arrived_at: when it was received; monotonic seconds.
+    :param found_by_key: whether a key identified the organisation.
+    :param reply: the response, for a stream.
     """
 
     head: CallHead = field(kw_only=True)
@@ -61,14 +61,14 @@
     reply: RoutedReply | None = None
 
     def identity(self) -> tuple[bytes, ...]:
-        """:returns: what tells this request from another, whatever its id."""
-        place = f"{self.method} {self.head.host}{self.target}"
-        return (place.encode(), self.body)
+        """Return what distinguishes this request from others, whatever its id."""
+        request_line = f"{self.method} {self.head.host}{self.target}"
+        return (request_line.encode(), self.body)
 
     def is_late(self, now: float) -> bool:
-        """:param now: when its answer is whole; monotonic seconds.
+        """Return whether the first part or a pause exceeded the route's objectives.
 
-        :returns: whether its first part or a pause took longer than the route's aims.
+        :param now: when the answer is complete; monotonic seconds.
         """
         first = now if self.first_at is None else self.first_at
         if first - self.arrived_at > self.route.objective_seconds:
@@ -77,41 +77,40 @@
 
     @property
     def priority(self) -> int:
-        """Its rank; the organisation's goes before the route's."""
+        """Its priority; the organisation's overrides the route's."""
         own = self.organisation.priority
         return self.route.priority if own is None else own
 
 
 @dataclass(frozen=True, slots=True)
-class Opinion:
-    """What a model has said of its answer.
+class ModelConfidence:
+    """The confidence of a model in its answer.
 
     :param model: its index among the route's models.
-    :param opinion: 0 to 100.
+    :param confidence: 0 to 100.
     """
 
     model: int
-    opinion: float
+    confidence: float
 
 
 @dataclass(slots=True)
 class RoutedTurn(Turn):
-    """A routed request on its way.
+    """A routed request that is being served.
 
-    :param arrival: the request.
+    :param arrival: the request as received.
     :param service: the service that serves it.
-    :param model: the index of the model that is asked; None where the caller
-        named it.
-    :param sends: how often it has been sent.
-    :param refusals: how many endpoints have said that they did not begin.
-    :param progress: how much of the answer the caller has.
-    :param prepaid: whether its next retry is already counted.
+    :param model: the index of the model that is used; None if the caller named one.
+    :param sends: the number of times that it was sent.
+    :param refusals: the number of endpoints that did not start it.
+    :param progress: how much of the answer the caller has received.
+    :param retry_counted: whether its next retry is charged to the budget already.
     :param avoid_new: whether a version on trial has failed it.
-    :param choice: which version is to serve it; None where none is on trial.
-    :param last_refusal: why the last endpoint did not begin.
-    :param failed_answer: the last answer by which an endpoint said that it failed.
-    :param first_opinion: what the model that answered first thought of its answer,
-        where a larger one was asked then.
+    :param choice: the version that is to serve it; None if none is on trial.
+    :param last_refusal: why the last endpoint did not start it.
+    :param failed_answer: the last answer with which an endpoint reported a failure.
+    :param first_confidence: the confidence of the model that answered first, if a
+        larger one was used after it.
     """
 
     arrival: RoutedArrival
@@ -120,12 +119,12 @@
     progress: StreamProgress
     sends: int = 0
     refusals: int = 0
-    prepaid: bool = False
+    retry_counted: bool = False
     avoid_new: bool = False
     choice: VersionChoice | None = None
     last_refusal: Refusal | None = None
     failed_answer: WholeAnswer | None = None
-    first_opinion: Opinion | None = None
+    first_confidence: ModelConfidence | None = None
 
     @property
     def target(self) -> str:
@@ -134,13 +133,13 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether the route lets it run once more."""
+        """Whether the route allows one more attempt."""
         route = self.arrival.route
         return route.repeatable and self.sends < route.attempts
 
     @property
     def streamed(self) -> bool:
-        """Whether it is answered by a stream of events."""
+        """Whether its answer is a stream of events."""
         return self.arrival.route.kind is RouteKind.STREAM
 
     @property
@@ -156,13 +155,14 @@
 
     @property
     def work(self) -> PromptWork | None:
-        """The reading of its prompt; None where it has none."""
+        """The reading work of its prompt; None if it has no prompt."""
         return self.work_of(self.model_name or self.arrival.head.model)
 
     def work_of(self, model: ModelName) -> PromptWork | None:
-        """:param model: a model.
+        """Return the reading work of the prompt at a given model.
 
-        :returns: the reading of the prompt by that model; None where it has none.
+        :param model: the model.
+        :returns: the work; None if the request has no prompt.
         """
         prompt = self.arrival.head.prompt
         if not prompt.tokens:
@@ -171,11 +171,11 @@
 
     @property
     def model_name(self) -> ModelName | None:
-        """The model that is asked; None where the caller named it."""
+        """The model that is used; None if the caller named one."""
         if self.model is None:
             return None
         return self.arrival.route.models[self.model]
 
     def seconds_left(self) -> float:
-        """:returns: seconds until the answer is due."""
+        """Return the seconds until the deadline."""
         return self.arrival.deadline - monotonic()
--- a/walnutquay/daemon/metricsapi.py
+++ b/walnutquay/daemon/metricsapi.py
@@ -106,7 +106,7 @@
         yield from self._endpoints()
         yield from self._emptied()
         yield from self._crashes()
-        for service, budget in self.path.budgets.known.items():
+        for service, budget in self.path.budgets.by_service.items():
             yield f'{PREFIX}_retries_left{{service="{service}"}} {budget.left:.1f}'
         for service, task in self.versions.tasks.items():
             label = f'service="{service}",version="{task.trial.order.version}"'
