--- a/lab/capacity/processortime.py
+++ b/lab/capacity/processortime.py
@@ -121,7 +121,7 @@
 
     async def place() -> None:
         placed = await vm.places.acquire(_need(vm, vm.turn()))
-        vm.places.began(placed.ok, 0.05)
+        vm.places.answer_began(placed.ok, 0.05)
         vm.places.release(placed.ok)
 
     async def larger() -> None:
--- a/tests/daemon/test_metrics_address.py
+++ b/tests/daemon/test_metrics_address.py
@@ -23,7 +23,7 @@
 FIELDS = {"request", "session", "version", "endpoint", "detail", "kind"}
 SOURCES = Path(walnutquay.__file__).parent
 # Functions that make facts: their dictionaries' keys are names of facts.
-MAKERS = {"received", "dispatched", "known"}
+MAKERS = {"received", "dispatched", "state_age"}
 
 
 def emitted_facts() -> set[str]:
--- a/walnutquay/coordination/routed/admission.py
+++ b/walnutquay/coordination/routed/admission.py
@@ -49,9 +49,9 @@
     :param work: the prompt.
     :param engine: the engine.
     :param hall: the engine's data hall.
-    :param wait: the reading time that was known to be ahead of it; seconds.
+    :param wait: the reading time that was known to be queued before it; seconds.
     :param seconds: its own reading time.
-    :param cached: whether its beginning was assumed to be cached at the engine.
+    :param cached: whether its prefix was assumed to be cached at the engine.
     :param position: its position in the total reading time assigned to the engine.
     """
 
@@ -146,7 +146,7 @@
                 )
             )
         now = monotonic()
-        left = self.reachability.within(left)
+        left = self.reachability.exclude_unreachable(left)
         if need.suspect:
             chosen = self._choose_for_suspect(left, need, now)
         elif need.work is not None:
@@ -163,7 +163,7 @@
                     FULL_RETRY_SECONDS,
                 )
             )
-        self.cold.sent(chosen, now)
+        self.cold.record_send(chosen, now)
         self.table.of(chosen.name).in_flight += 1
         if need.work is None:
             return Ok(Grant(chosen, now, WorkKind.QUICK))
@@ -249,7 +249,7 @@
         """
         now = monotonic()
         allowed = within(self.candidates(service), regions, self.region_of)
-        left = self.reachability.within(self.cold.open(allowed, now))
+        left = self.reachability.exclude_unreachable(self.cold.available(allowed, now))
         open_ones = self.table.open_ones(left, now, frozenset()) or left
         return self._engines(open_ones, service, now) if open_ones else None
 
@@ -283,7 +283,7 @@
             return 0.0
         return pending.wait + pending.work.tokens * self.work.rate(pending.work.model)
 
-    def began(self, grant: Grant, seconds: float) -> None:
+    def answer_began(self, grant: Grant, seconds: float) -> None:
         """Update the reading estimates when an answer begins.
 
         :param grant: the slot.
--- a/walnutquay/coordination/routed/answers.py
+++ b/walnutquay/coordination/routed/answers.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Whole answers of endpoints, successful or failed."""
+"""Complete answers of endpoints, successful or failed."""
 
 from __future__ import annotations
 
@@ -25,6 +25,6 @@
     """Combine the head and the body of an answer.
 
     :param head: the answer's head.
-    :param body: the whole body.
+    :param body: the complete body.
     """
     return WholeAnswer(head.status, head.content_type, body, head.headers)
--- a/walnutquay/coordination/routed/bodies.py
+++ b/walnutquay/coordination/routed/bodies.py
@@ -107,7 +107,7 @@
         await self.exchange.__aexit__(kind, error, trace)
 
 
-async def read_whole_body(answer: aiohttp.ClientResponse, peer: str) -> bytes:
+async def read_body(answer: aiohttp.ClientResponse, peer: str) -> bytes:
     """Read an answer's body.
 
     :param answer: the answer.
--- a/walnutquay/coordination/routed/cold.py
+++ b/walnutquay/coordination/routed/cold.py
@@ -193,7 +193,7 @@
             return math.inf
         return self.endpoints.seconds_left(instance.name, quota, now)
 
-    def open(self, instances: list[Instance], now: float) -> list[Instance]:
+    def available(self, instances: list[Instance], now: float) -> list[Instance]:
         """Return the endpoints that this VM may send a request now.
 
         :param instances: the endpoints to choose from.
@@ -223,7 +223,7 @@
         while True:
             now = monotonic()
             found = find()
-            open_ones = self.open(found, now)
+            open_ones = self.available(found, now)
             warm = any(not self.is_limited(item, now) for item in open_ones)
             if warm or (open_ones and self._is_most_urgent(need.priority)):
                 return open_ones
@@ -253,7 +253,7 @@
         """
         return COUNTED_SECONDS * (0.5 + self.context.rng.random())
 
-    def sent(self, instance: Instance, now: float) -> bool:
+    def record_send(self, instance: Instance, now: float) -> bool:
         """Count a request to an endpoint against its quota.
 
         :param instance: the endpoint.
--- a/walnutquay/coordination/routed/path.py
+++ b/walnutquay/coordination/routed/path.py
@@ -13,7 +13,7 @@
 from walnutquay.coordination.requests.places import Grant, Need
 from walnutquay.coordination.routed.admission import RoutedAdmission
 from walnutquay.coordination.routed.answers import FailedAnswerError, to_whole_answer
-from walnutquay.coordination.routed.bodies import WatchedExchange, read_whole_body
+from walnutquay.coordination.routed.bodies import WatchedExchange, read_body
 from walnutquay.coordination.routed.budgets import RetryBudgets
 from walnutquay.coordination.routed.calls import EndpointCalls
 from walnutquay.coordination.routed.cascading import Cascading
@@ -310,11 +310,11 @@
             head = self.calls.read_head(grant, answer)
             grant.began = monotonic()
             seconds = grant.began - started
-            self.admission.began(grant, seconds)
+            self.admission.answer_began(grant, seconds)
             # Once a stream has begun, only a 200 answer can continue it.
             cannot_resume = turn.progress.begun and head.status != STATUS_OK
             if head.status >= 500 or cannot_resume:
-                body = await read_whole_body(answer, grant.name)
+                body = await read_body(answer, grant.name)
                 self.on_whole(turn, grant)
                 self.versions.failed(turn, grant)
                 raise FailedAnswerError(to_whole_answer(head, body), peer=grant.name)
@@ -331,7 +331,7 @@
                 self._learn(turn, grant, seconds, pace_evaluated)
                 running.answered()
                 return Streamed(whole=True)
-            body = await read_whole_body(answer, grant.name)
+            body = await read_body(answer, grant.name)
         self._learn(turn, grant, seconds)
         running.answered()
         return Whole(to_whole_answer(head, body))
--- a/walnutquay/coordination/routed/promptengines.py
+++ b/walnutquay/coordination/routed/promptengines.py
@@ -25,7 +25,7 @@
 
     :param hall: the VM's data hall.
     :param table: the load and health of the engines.
-    :param work: the reading time that is pending at each of them.
+    :param work: the reading work (prefill) that is queued at each of them.
     """
 
     hall: HallName
@@ -102,8 +102,8 @@
     def _preferred(self, beginning: str) -> set[EndpointName]:
         """Return the engines that all VMs prefer: one of this data hall, one of all.
 
-        Reusing the cache of the engine that has read a long beginning is worth sending
-        the prompt to another data hall.
+        Reusing the cache of the engine that has read a long prefix is worth sending the
+        prompt to another data hall.
         """
         if not beginning:
             return set()
--- a/walnutquay/coordination/routed/reachability.py
+++ b/walnutquay/coordination/routed/reachability.py
@@ -52,7 +52,7 @@
         """Stop all probes and checks."""
         self.probes.stop()
 
-    def within(self, endpoints: list[Instance]) -> list[Instance]:
+    def exclude_unreachable(self, endpoints: list[Instance]) -> list[Instance]:
         """Exclude endpoints that seem unreachable, unless no others are left.
 
         :param endpoints: the endpoints to choose from.
--- a/walnutquay/coordination/routed/streaming.py
+++ b/walnutquay/coordination/routed/streaming.py
@@ -66,7 +66,7 @@
         grant: Grant,
         seconds: float,
     ) -> bool:
-        """Forward whole events to the caller until the stream ends.
+        """Forward complete events to the caller until the stream ends.
 
         :param turn: the request.
         :param head: the answer's head.
--- a/walnutquay/coordination/routed/turn.py
+++ b/walnutquay/coordination/routed/turn.py
@@ -31,7 +31,7 @@
         """
 
     async def write(self, data: bytes) -> None:
-        """Send whole events.
+        """Send complete events.
 
         :param data: the events.
         """
