--- a/lab/mutants/connections.py
+++ b/lab/mutants/connections.py
@@ -21,7 +21,7 @@
         "if kind is not StrayKind.EARLIER:",
         "if True:",
         "tests.coordination.routed.test_second_answers.SecondAnswerTest."
-        "test_in_the_place_of_the_next_answer",
+        "test_in_place_of_the_next_answer",
     ),
     Mutation(
         "second answers: a connection carries each id once",
@@ -44,14 +44,14 @@
         "transport/connections.py",
         "if transport is None or not self.under_way:",
         "if True:",
-        "tests.coordination.routed.test_silence.GivenUpTest.test_what_waits_on_a_full_link",
+        "tests.coordination.routed.test_silence.AbandonedRequestTest.test_full_link",
     ),
     Mutation(
         "the whole answer: a reset is noticed late",
         "transport/client.py",
         "None if framed else answer._protocol",
         "None if framed or answer.connection is None else answer._protocol",
-        "tests.coordination.routed.test_routed.WholeBodyTest."
-        "test_a_reset_is_noticed_after_the_connection_is_let_go_of",
+        "tests.coordination.routed.test_routed.CompleteBodyTest."
+        "test_reset_is_detected_after_the_connection_is_released",
     ),
 ]
--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -94,7 +94,7 @@
         "coordination/routed/bodies.py",
         "unreachable = not connecting.done() and not await self.check_reachable()",
         "unreachable = False",
-        "tests.coordination.routed.test_silence.DarkEngineTest",
+        "tests.coordination.routed.test_silence.UnreachableEngineTest",
     ),
     Mutation(
         "roll-outs: sessions that another VM keeps stay on the old version",
@@ -334,7 +334,7 @@
         "coordination/routed/cold.py",
         "if self.context.vm not in keepers_of(instance.name, vms, count):",
         "if False:",
-        "tests.coordination.routed.test_cold.KeepersTest",
+        "tests.coordination.routed.test_cold.SeveralVmsTest",
     ),
     Mutation(
         "cold endpoints: what is sent there is not counted",
--- a/tests/coordination/routed/__init__.py
+++ b/tests/coordination/routed/__init__.py
@@ -1,3 +1,3 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Tests of requests on the operators' routes."""
+"""Tests of the requests on the operators' routes."""
--- a/tests/coordination/routed/test_promptengines.py
+++ b/tests/coordination/routed/test_promptengines.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The choice among engines for a prompt."""
+"""Tests of the choice among engines for a prompt."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def engine(number: int) -> Instance:
-    """:returns: an engine; a third of them stand here."""
+    """Return an engine; a third of them are in this VM's data hall."""
     return Instance(
         EndpointName(f"e{number}"),
         ServiceName("s"),
@@ -42,8 +42,8 @@
     )
 
 
-class Drawn:
-    """Engines of which a VM believes what a seed draws.
+class RandomEngines:
+    """Engines with a random assumed state.
 
     :param seed: the seed.
     """
@@ -66,10 +66,10 @@
                 sent_at = NOW - rng.uniform(0.0, 2.0 * KEPT)
                 self.work.add(item.name, rng.uniform(0.0, 20.0), beginning, sent_at)
         engine_state = EngineState(HERE, self.table, self.work)
-        self.found = PromptEngines(engine_state, self.engines, KEPT, NOW)
+        self.prompt_engines = PromptEngines(engine_state, self.engines, KEPT, NOW)
 
     def times(self, item: Instance) -> tuple[float, float]:
-        """:returns: seconds before an engine can begin, and to read the prompt."""
+        """Return an engine's waiting time and its reading time of the prompt."""
         near = [e.name for e in self.engines if e.hall == HERE]
         everywhere = [e.name for e in self.engines]
         beginning = self.prompt.beginning
@@ -77,14 +77,14 @@
             preferred_of(near, beginning),
             preferred_of(everywhere, beginning),
         )
-        facts = self.table.of(item.name)
-        slow = facts.slow_by(NOW)
+        endpoint_state = self.table.of(item.name)
+        slow = endpoint_state.slow_by(NOW)
         reading = self.work.reading(item.name, self.prompt, NOW, preferred, KEPT)
-        running = facts.load(NOW) * SECONDS_PER_RUNNING_REQUEST
+        running = endpoint_state.load(NOW) * SECONDS_PER_RUNNING_REQUEST
         return (self.work.wait(item.name, NOW) + running) * slow, reading * slow
 
-    def harm(self, item: Instance) -> float:
-        """:returns: what sending the prompt to an engine counts as."""
+    def cost(self, item: Instance) -> float:
+        """Return the cost of sending the prompt to an engine."""
         far = (
             0.0 if item.hall == HERE else (OTHER_HALL_WAIT_SHARE * self.objective) ** 2
         )
@@ -92,19 +92,21 @@
 
 
 class PromptEnginesTest(unittest.TestCase):
-    """All engines are weighed at once as each would be by itself."""
+    """All engines together get the same values as each engine alone."""
 
-    def test_the_least_harm(self):
+    def test_best_engine_has_the_lowest_cost(self):
         for seed in range(SEEDS):
             with self.subTest(seed=seed):
-                drawn = Drawn(seed)
-                best = drawn.found.best(drawn.prompt, drawn.objective)
-                self.assertIs(best, min(drawn.engines, key=drawn.harm))
+                fixture = RandomEngines(seed)
+                best = fixture.prompt_engines.best(fixture.prompt, fixture.objective)
+                self.assertIs(best, min(fixture.engines, key=fixture.cost))
 
-    def test_its_forecast(self):
+    def test_forecast_is_for_the_best_engine(self):
         for seed in range(SEEDS):
             with self.subTest(seed=seed):
-                drawn = Drawn(seed)
-                best = drawn.found.best(drawn.prompt, drawn.objective)
-                forecast = drawn.found.forecast(drawn.prompt, drawn.objective)
-                self.assertEqual(forecast, drawn.times(best))
+                fixture = RandomEngines(seed)
+                best = fixture.prompt_engines.best(fixture.prompt, fixture.objective)
+                forecast = fixture.prompt_engines.forecast(
+                    fixture.prompt, fixture.objective
+                )
+                self.assertEqual(forecast, fixture.times(best))
--- a/tests/coordination/routed/test_promptupdates.py
+++ b/tests/coordination/routed/test_promptupdates.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Long prompts that engines were given, told between VMs."""
+"""Tests of the updates between VMs about long prompts."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 RATE = 0.00002
 
 
-def prompt(seconds: float) -> PendingPrompt:
-    """:returns: a prompt that takes an engine so long to read."""
+def pending_prompt(seconds: float) -> PendingPrompt:
+    """Return a pending prompt with the given reading time."""
     work = PromptWork("m", 5000, "", 0)
     return PendingPrompt(
         work, EndpointName("e"), HallName("h"), 0.0, seconds, False, 0.0
@@ -27,37 +27,37 @@
 
 
 class PromptUpdatesTest(unittest.IsolatedAsyncioTestCase):
-    """VMs hear of what would delay them, and of nothing else."""
+    """VMs exchange updates about long prompts only."""
 
     def setUp(self) -> None:
-        self.told: list[tuple] = []
-        self.heard: list[WorkNews] = []
+        self.sent: list[tuple] = []
+        self.applied: list[WorkNews] = []
         admission = SimpleNamespace(
             listeners=[],
-            apply_peer_prompt=self.heard.append,
+            apply_peer_prompt=self.applied.append,
             work=SimpleNamespace(rate=lambda model: RATE),
         )
-        self.passed: list[tuple] = []
+        self.relayed: list[tuple] = []
         peers = SimpleNamespace(
-            tell_users=lambda *told: self.told.append(told),
-            pass_on_here=lambda *passed: self.passed.append(passed),
+            tell_users=lambda *sent: self.sent.append(sent),
+            pass_on_here=lambda *relayed: self.relayed.append(relayed),
         )
         self.dispatcher = Dispatcher()
         PromptUpdates(admission, peers).listen(self.dispatcher)
-        self.sent = admission.listeners[0]
+        self.send = admission.listeners[0]
 
-    def test_a_long_prompt_is_told_where_its_engine_is_used(self):
-        self.sent(prompt(MIN_SENT_SECONDS))
+    def test_long_prompt_is_sent_to_the_users_of_its_hall(self):
+        self.send(pending_prompt(MIN_SENT_SECONDS))
         self.assertEqual(
-            self.told, [("h", WorkNews("e", MIN_SENT_SECONDS, "", "m", RATE))]
+            self.sent, [("h", WorkNews("e", MIN_SENT_SECONDS, "", "m", RATE))]
         )
 
-    def test_a_short_one_is_not(self):
-        self.sent(prompt(MIN_SENT_SECONDS * 0.9))
-        self.assertEqual(self.told, [])
+    def test_short_prompt_is_not_sent(self):
+        self.send(pending_prompt(MIN_SENT_SECONDS * 0.9))
+        self.assertEqual(self.sent, [])
 
-    async def test_what_another_vm_tells_counts(self):
+    async def test_received_update_is_applied_and_relayed(self):
         update = WorkNews("e", 0.2, "", "m", RATE)
         await self.dispatcher.deliver(Envelope("vm", "1", Stamp(1, 0), update))
-        self.assertEqual(self.heard, [update])
-        self.assertEqual(self.passed, [("vm", update)])
+        self.assertEqual(self.applied, [update])
+        self.assertEqual(self.relayed, [("vm", update)])
--- a/tests/coordination/routed/test_routed.py
+++ b/tests/coordination/routed/test_routed.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The path of routed requests: what endpoints get, and what callers are told."""
+"""Tests of the path of routed requests, as endpoints and callers see it."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from walnutquay.transport.client import ConnectionEnd
 
 
-class PassingOnTest(GatewayCase):
-    """Requests reach endpoints unaltered, answers return unaltered."""
+class ForwardingTest(GatewayCase):
+    """Requests and answers are forwarded unchanged."""
 
-    async def test_the_request_is_passed_on_as_it_came(self):
+    async def test_request_is_forwarded_unchanged(self):
         answer = await self.call(
             "/unsafe/a%2Fb?x=%20y", b"\x00body", Tenant="org-b", Hold="h1", X_More="m"
         )
@@ -32,14 +32,14 @@
         self.assertNotIn("hold", seen[0].headers)
         self.assertLessEqual(int(seen[0].headers["deadline"]), 4000)
 
-    async def test_status_body_and_seal_return(self):
+    async def test_status_body_and_seal_are_returned(self):
         for name in ("p1", "p2"):
             self.endpoints[name].default = Behaviour(status=409, body=b"conflict")
         answer = await self.call("/unsafe/x", b"b")
         self.assertEqual((answer.status, answer.body), (409, b"conflict"))
         self.assertIn("Reply-Seal", answer.headers)
 
-    async def test_a_reused_address_is_not_run(self):
+    async def test_nothing_runs_at_a_reused_address(self):
         self.endpoints["p1"].name = "another"
         self.endpoints["p2"].name = "yet-another"
         answer = await self.call("/unsafe/x", b"b")
@@ -49,23 +49,23 @@
         self.assertEqual(self.runs(), 0)
 
 
-class RepeatingTest(GatewayCase):
-    """What may be repeated is; what may not never is."""
+class RetryTest(GatewayCase):
+    """Repeatable requests are retried; other requests never are."""
 
-    async def test_a_safe_request_is_tried_elsewhere(self):
+    async def test_safe_request_is_retried_elsewhere(self):
         self.endpoints["p1"].default = Behaviour(status=500)
         for _ in range(4):
             answer = await self.call("/safe/x")
             self.assertEqual(answer.status, 200)
 
-    async def test_both_failing_the_endpoints_own_answer_returns(self):
+    async def test_endpoints_answer_is_returned_if_all_fail(self):
         for name in ("p1", "p2"):
             self.endpoints[name].default = Behaviour(status=500, body=b"mine")
         answer = await self.call("/safe/x")
         self.assertEqual((answer.status, answer.body), (500, b"mine"))
         self.assertEqual(self.runs(), 2)
 
-    async def test_the_endpoints_own_answer_returns_where_no_other_is_left(self):
+    async def test_endpoints_answer_is_returned_if_no_other_is_left(self):
         await self.store.remove("servers", "p2")
         book = self.gateway.knowledge.instances.book
         await self.until(lambda: "p2" not in book.known)
@@ -73,7 +73,7 @@
         answer = await self.call("/safe/x")
         self.assertEqual((answer.status, answer.body), (500, b"mine"))
 
-    async def test_an_unsafe_request_runs_once(self):
+    async def test_unsafe_request_runs_once(self):
         for fault in (
             Behaviour(status=500),
             Behaviour(cut_after=0),
@@ -89,13 +89,13 @@
                 self.assertIn(answer.status, (500, 502))
                 self.assertEqual("Reply-Seal" in answer.headers, answer.status == 500)
 
-    async def test_what_was_not_run_goes_elsewhere(self):
+    async def test_request_that_was_not_run_is_sent_elsewhere(self):
         self.endpoints["p1"].default = Behaviour(status=503, not_run=True)
         for _ in range(3):
             answer = await self.call("/unsafe/x", b"b")
             self.assertEqual(answer.status, 200)
 
-    async def test_all_turning_away_is_a_true_refusal(self):
+    async def test_refused_by_all_is_reported_as_not_run(self):
         for name in ("p1", "p2"):
             self.endpoints[name].default = Behaviour(status=503, not_run=True)
         answer = await self.call("/unsafe/x", b"b")
@@ -104,19 +104,19 @@
         self.assertEqual(self.runs(), 0)
 
 
-class WholeBodyTest(GatewayCase):
-    """An answer that broke off is never passed on as a whole one."""
+class CompleteBodyTest(GatewayCase):
+    """An answer that was interrupted is never passed on as complete."""
 
     workers = {"p1": "plain", "e1": "engine"}
 
-    async def test_a_reset_without_a_length_is_no_end(self):
+    async def test_reset_without_a_length_is_an_error(self):
         self.endpoints["p1"].next.append(
             Behaviour(body=b"0123456789", cut_after=4, framed=False)
         )
         answer = await self.call("/unsafe/x", b"b")
         self.assertEqual(answer.status, 502)
 
-    async def test_a_reset_is_noticed_after_the_connection_is_let_go_of(self):
+    async def test_reset_is_detected_after_the_connection_is_released(self):
         self.endpoints["p1"].default = Behaviour(
             body=b"0123456789", cut_after=4, framed=False
         )
@@ -124,7 +124,7 @@
         headers = {"Request-Id": "r1", "Target-Instance": "p1"}
         client = self.gateway.client
         async with client.request("GET", url, peer="p1", headers=headers) as answer:
-            # Whoever reads the answer late, as on a busy VM.
+            # The answer is read late, as on a busy VM.
             while answer.connection is not None:  # noqa: ASYNC110
                 await asyncio.sleep(0.005)
             end = ConnectionEnd(answer)
@@ -132,12 +132,12 @@
             with self.assertRaises(EndpointError):
                 end.check("p1")
 
-    async def test_a_close_without_a_length_is_one(self):
+    async def test_close_without_a_length_ends_the_body(self):
         self.endpoints["p1"].next.append(Behaviour(body=b"0123456789", framed=False))
         answer = await self.call("/unsafe/x", b"b")
         self.assertEqual((answer.status, answer.body), (200, b"0123456789"))
 
-    async def test_a_second_answer_belongs_to_nobody(self):
+    async def test_second_answer_is_dropped(self):
         self.endpoints["p1"].default = Behaviour(extra=True)
         for _ in range(5):
             answer = await self.call("/safe/x")
@@ -146,7 +146,7 @@
 
 
 class StreamTest(GatewayCase):
-    """Streams are passed on event by event, and taken up where they broke."""
+    """Streams are forwarded event by event, and resumed after an interruption."""
 
     workers = {"p1": "plain", "e1": "engine", "e2": "engine"}
     prompt = {
@@ -157,19 +157,23 @@
     }
 
     def events(self, count: int, first: int = 1) -> bytes:
-        """:returns: the whole stream."""
+        """Return the events of a stream, as sent on the wire.
+
+        :param count: the number of the last event.
+        :param first: the number of the first event.
+        """
         return b"".join(
             f"id: {n}\ndata: word {n}\n\n".encode() for n in range(first, count + 1)
         )
 
-    async def test_a_whole_stream(self):
+    async def test_complete_stream(self):
         for name in ("e1", "e2"):
             self.endpoints[name].default = Behaviour(events=5)
         answer = await self.call("/stream/x", b"b", **self.prompt)
         self.assertTrue(answer.whole)
         self.assertEqual(answer.body, self.events(5))
 
-    async def test_a_stream_that_breaks_within_an_event_goes_on_elsewhere(self):
+    async def test_stream_that_breaks_within_an_event_continues_elsewhere(self):
         broken = Behaviour(events=6, cut_after=3, within=9)
         once = [broken]
         for name in ("e1", "e2"):
@@ -179,16 +183,16 @@
         self.assertTrue(answer.whole)
         self.assertEqual(answer.body, self.events(6))
         second = [r for n in ("e1", "e2") for r in self.endpoints[n].runs]
-        marks = {run.headers.get("last-event-id") for run in second}
-        self.assertEqual(marks, {None, "3"})
+        last_event_ids = {run.headers.get("last-event-id") for run in second}
+        self.assertEqual(last_event_ids, {None, "3"})
 
-    async def test_the_callers_own_mark_is_passed_on(self):
+    async def test_callers_last_event_id_is_forwarded(self):
         for name in ("e1", "e2"):
             self.endpoints[name].default = Behaviour(events=6)
         answer = await self.call("/stream/x", b"b", Last_Event_Id="4", **self.prompt)
         self.assertEqual(answer.body, self.events(6, 5))
 
-    async def test_one_that_may_not_be_resumed_ends_as_broken(self):
+    async def test_stream_that_may_not_be_resumed_ends_as_broken(self):
         for name in ("e1", "e2"):
             self.endpoints[name].default = Behaviour(events=6, cut_after=3)
         answer = await self.call("/once/x", b"b", Model="tiny")
@@ -196,7 +200,7 @@
         self.assertEqual(answer.body, self.events(3))
         self.assertEqual(self.runs(), 1)
 
-    async def test_little_confidence_asks_the_largest_model(self):
+    async def test_low_confidence_escalates_to_the_largest_model(self):
         def by_model(seen):
             confident = seen.headers["model"] == "huge"
             value = "90" if confident else "10"
@@ -211,7 +215,7 @@
         ]
         self.assertEqual(sorted(models), ["huge", "tiny"])
 
-    async def test_a_caller_who_leaves_stops_the_work(self):
+    async def test_disconnecting_caller_stops_the_work(self):
         for name in ("e1", "e2"):
             self.endpoints[name].default = Behaviour(events=1000, pause=0.05)
         port = self.gateway.api.server.port
--- a/tests/coordination/routed/test_silence.py
+++ b/tests/coordination/routed/test_silence.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Endpoints and callers that fall silent, or leave, while a request is under way."""
+"""Tests of endpoints and callers that become silent or disconnect during a request."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class SilenceTest(GatewayCase):
-    """An endpoint that falls silent does not keep its callers."""
+    """Callers do not wait for an endpoint that has become silent."""
 
     workers = {"p1": "plain", "p2": "plain", "e1": "engine", "e2": "engine"}
 
-    async def test_a_stream_goes_on_elsewhere(self):
+    async def test_stream_continues_elsewhere(self):
         silent = [Behaviour(events=8, cut_after=None, pause=30.0)]
         for name in ("e1", "e2"):
             self.endpoints[name].default = Behaviour(events=8)
@@ -33,13 +33,13 @@
         runs = self.endpoints["e1"].runs + self.endpoints["e2"].runs
         await self.until(lambda: any(run.left for run in runs))
 
-    async def test_a_safe_call_is_answered_elsewhere(self):
+    async def test_safe_call_is_answered_elsewhere(self):
         self.endpoints["p1"].default = Behaviour(mute=True)
         for _ in range(3):
             answer = await self.call("/safe/x")
             self.assertEqual(answer.status, 200)
 
-    async def test_an_unsafe_call_is_not(self):
+    async def test_unsafe_call_is_not_retried(self):
         for name in ("p1", "p2"):
             self.endpoints[name].default = Behaviour(mute=True)
         answer = await self.call("/unsafe/x", b"b", Deadline="1200")
@@ -47,12 +47,12 @@
         self.assertEqual(self.runs("p1", "p2"), 1)
 
 
-class DarkEngineTest(GatewayCase):
-    """An engine that cannot be connected to any more is not waited for."""
+class UnreachableEngineTest(GatewayCase):
+    """Requests do not wait for an engine that is no longer reachable."""
 
     workers = {"p1": "plain", "e1": "engine", "e2": "engine"}
 
-    async def test_a_stream_is_answered_elsewhere_well_before_its_time_for_a_head(self):
+    async def test_stream_is_answered_elsewhere_before_the_head_timeout(self):
         held = [Behaviour(mute=True)]
         for name in ("e1", "e2"):
             self.endpoints[name].default = Behaviour(events=3)
@@ -61,17 +61,17 @@
             self.call("/stream/x", b"b", Model="tiny", Deadline="9000")
         )
         await self.until(lambda: self.runs("e1", "e2") == 1)
-        dark = next(n for n in ("e1", "e2") if self.endpoints[n].runs)
+        engine_name = next(n for n in ("e1", "e2") if self.endpoints[n].runs)
         reachability = self.gateway.path.admission.reachability
-        # Its port is closed; the connection that is open stays as it is.
-        self.endpoints[dark].server.close()
-        await self.until(lambda: dark in reachability.unreachable)
+        # The port is closed; the open connection is not affected.
+        self.endpoints[engine_name].server.close()
+        await self.until(lambda: engine_name in reachability.unreachable)
         answer = await call
         self.assertEqual((answer.status, answer.whole), (200, True))
         self.assertEqual(self.runs("e1", "e2"), 2)
-        self.assertTrue(all(run.left for run in self.endpoints[dark].runs))
+        self.assertTrue(all(run.left for run in self.endpoints[engine_name].runs))
 
-    async def test_requests_that_wait_share_one_try(self):
+    async def test_waiting_requests_share_one_check(self):
         reachability = self.gateway.path.admission.reachability
         endpoint = self.gateway.knowledge.instances.book.known["e1"]
         before = self.endpoints["e1"].connections
@@ -82,11 +82,11 @@
 
 
 class SilentConnectionTest(GatewayCase):
-    """Kept connections to an endpoint that fall silent while new ones work."""
+    """Kept connections to an endpoint become silent while new ones work."""
 
     workers = {"e1": "engine"}
 
-    async def test_a_safe_call_is_answered_all_the_same(self):
+    async def test_safe_call_is_still_answered(self):
         link = await self.add_linked_worker("p1", "plain")
         self.assertEqual((await self.call("/safe/x")).status, 200)
         link.silence()
@@ -96,15 +96,16 @@
         self.assertEqual((await self.call("/unsafe/x", b"b")).status, 200)
 
 
-class GivenUpTest(GatewayCase):
-    """A request that was given up does not arrive later, when its link works again.
+class AbandonedRequestTest(GatewayCase):
+    """An abandoned request does not arrive later, when its link works again.
 
-    It would be run for nobody, and at endpoints that have announced their end long ago.
+    It would run although no caller waits for it, possibly at an endpoint that announced
+    long before that it was leaving.
     """
 
     workers = {"e1": "engine"}
 
-    async def test_what_waits_on_a_full_link_of_a_kept_connection(self):
+    async def test_full_link_of_a_kept_connection(self):
         link = await self.add_linked_worker("p1", "plain")
         self.assertEqual((await self.call("/safe/x")).status, 200)
         link.hold()
@@ -114,7 +115,7 @@
         await self.until(lambda: not link.writers)
         self.assertEqual(self.runs("p1"), 1)
 
-    async def test_what_waits_on_a_full_link(self):
+    async def test_full_link(self):
         link = await self.add_linked_worker("p1", "plain")
         link.hold()
         answer = await self.call("/safe/x", Deadline="300")
@@ -127,40 +128,45 @@
 class ClosingConnectionTest(GatewayCase):
     """A caller's connection closes while an answer is written to it.
 
-    The library raises an error for such a write, of the same kind as where the
-    connection to an endpoint breaks.  It was taken for the endpoint's: the request was
-    sent to another one, for nobody, and the failure held against the first.  At the end
-    of a stream it went up to the server, whose log told of "Error handling request".
+    aiohttp raises the same kind of error for such a write as for a broken connection to
+    an endpoint.  Taken for the endpoint's failure, it caused a retry at another
+    endpoint although no caller was left, and counted against the first.  At the end of
+    a stream it reached the HTTP server, which logged "Error handling request".
     """
 
     workers = {"e1": "engine", "e2": "engine"}
 
-    async def stream_to_one_who_leaves(self, method: str) -> None:
-        """Serve a stream whose caller's connection closes before a call of ours."""
+    async def stream_with_closing_caller(self, method: str) -> None:
+        """Serve a stream whose caller's connection closes before a response method.
+
+        :param method: the method of the response that fails.
+        """
         for worker in self.endpoints.values():
             worker.default = Behaviour(events=3)
-        gone = aiohttp.ClientConnectionResetError("Cannot write to closing transport")
+        closing_error = aiohttp.ClientConnectionResetError(
+            "Cannot write to closing transport"
+        )
         with (
-            mock.patch.object(web.StreamResponse, method, side_effect=gone),
+            mock.patch.object(web.StreamResponse, method, side_effect=closing_error),
             suppress(aiohttp.ClientError, TimeoutError),
         ):
             async with asyncio.timeout(2.0):
                 await self.call("/stream/x", b"b", Model="*", Token_Count="100,50")
         await self.until(lambda: not self.gateway.path.in_flight)
 
-    async def test_no_endpoint_is_blamed_and_none_is_asked_once_more(self):
+    async def test_no_failure_is_recorded_and_nothing_is_retried(self):
         for method in ("prepare", "write", "write_eof"):
             with self.subTest(method=method), self.assertNoLogs("aiohttp.server"):
                 before = self.runs("e1", "e2")
-                await self.stream_to_one_who_leaves(method)
+                await self.stream_with_closing_caller(method)
                 self.assertEqual(self.runs("e1", "e2"), before + 1)
         kinds = [event.kind for event in self.gateway.context.timeline.ring.events]
         self.assertEqual(kinds.count(EventKind.CALLER_GONE), 3)
         self.assertNotIn(EventKind.FAILED, kinds)
 
 
-class LeavingCallerTest(GatewayCase):
-    """Endpoints stop working on what nobody waits for any more."""
+class DisconnectingCallerTest(GatewayCase):
+    """Endpoints stop working on requests whose callers have disconnected."""
 
     async def test_plain_calls(self):
         for name in ("p1", "p2"):
@@ -178,8 +184,8 @@
                 runs = self.endpoints["p1"].runs + self.endpoints["p2"].runs
                 await self.until(lambda: all(run.left for run in runs))  # noqa: B023
 
-    async def test_one_that_waits_for_a_second_endpoint(self):
-        # The first endpoint fails as the caller leaves; no other may be asked then.
+    async def test_caller_that_disconnects_before_a_retry(self):
+        # The first attempt fails when the caller disconnects; there must be no retry.
         self.endpoints["p1"].default = Behaviour(mute=True)
         self.endpoints["p2"].default = Behaviour(mute=True)
         call = asyncio.ensure_future(self.call("/safe/x"))
