--- a/tests/coordination/routed/test_promptengines.py
+++ b/tests/coordination/routed/test_promptengines.py
@@ -85,10 +85,10 @@
 
     def cost(self, item: Instance) -> float:
         """Return the cost of sending the prompt to an engine."""
-        far = (
+        other_hall_cost = (
             0.0 if item.hall == HERE else (OTHER_HALL_WAIT_SHARE * self.objective) ** 2
         )
-        return sum(self.times(item)) ** 2 + far
+        return sum(self.times(item)) ** 2 + other_hall_cost
 
 
 class PromptEnginesTest(unittest.TestCase):
--- a/walnutquay/coordination/routed/admission.py
+++ b/walnutquay/coordination/routed/admission.py
@@ -136,8 +136,10 @@
                     NO_ENDPOINT_RETRY_SECONDS,
                 )
             )
-        left = await self.cold.wait_for(lambda: self._untried_candidates(need), need)
-        if not left:
+        remaining = await self.cold.wait_for(
+            lambda: self._untried_candidates(need), need
+        )
+        if not remaining:
             return Error(
                 Refusal(
                     RefusalCode.NO_ENDPOINT,
@@ -146,15 +148,15 @@
                 )
             )
         now = monotonic()
-        left = self.reachability.exclude_unreachable(left)
+        remaining = self.reachability.exclude_unreachable(remaining)
         if need.suspect:
-            chosen = self._choose_for_suspect(left, need, now)
+            chosen = self._choose_for_suspect(remaining, need, now)
         elif need.work is not None:
-            chosen = self._choose_engine(left, need, need.work, now)
+            chosen = self._choose_engine(remaining, need, need.work, now)
         else:
-            chosen = self.table.choose(left, now, need.hint, need.tried)
+            chosen = self.table.choose(remaining, now, need.hint, need.tried)
         if chosen is None:
-            chosen = self._least_loaded(left, now)
+            chosen = self._least_loaded(remaining, now)
         if chosen is None:
             return Error(
                 Refusal(
@@ -249,8 +251,10 @@
         """
         now = monotonic()
         allowed = within(self.candidates(service), regions, self.region_of)
-        left = self.reachability.exclude_unreachable(self.cold.available(allowed, now))
-        open_ones = self.table.open_ones(left, now, frozenset()) or left
+        remaining = self.reachability.exclude_unreachable(
+            self.cold.available(allowed, now)
+        )
+        open_ones = self.table.open_ones(remaining, now, frozenset()) or remaining
         return self._engines(open_ones, service, now) if open_ones else None
 
     def reading_seconds_of(self, grant: Grant) -> float | None:
@@ -305,10 +309,10 @@
             self.work.learn(pending.work.model, pending.work.tokens, seconds)
 
     def _choose_engine(
-        self, left: list[Instance], need: Need, work: PromptWork, now: float
+        self, remaining: list[Instance], need: Need, work: PromptWork, now: float
     ) -> Instance | None:
         """Choose the engine that is likely to finish reading a prompt first."""
-        open_ones = self.table.open_ones(left, now, need.tried)
+        open_ones = self.table.open_ones(remaining, now, need.tried)
         if not open_ones:
             return None
         service = ServiceName(need.target)
@@ -321,7 +325,7 @@
         return PromptEngines(self.engine_state, engines, kept, now)
 
     def _choose_for_suspect(
-        self, left: list[Instance], need: Need, now: float
+        self, remaining: list[Instance], need: Need, now: float
     ) -> Instance | None:
         """Choose the endpoint for a request that may have crashed one.
 
@@ -329,14 +333,14 @@
         while requests that ran beside it are spread over the others.  One more crash
         then clears most of these, and no two endpoints crash at the same time.
         """
-        open_ones = self.table.open_ones(left, now, need.tried) or left
+        open_ones = self.table.open_ones(remaining, now, need.tried) or remaining
         name = preferred_of([item.name for item in open_ones], need.suspect)
         return next((item for item in open_ones if item.name == name), None)
 
-    def _least_loaded(self, left: list[Instance], now: float) -> Instance | None:
+    def _least_loaded(self, remaining: list[Instance], now: float) -> Instance | None:
         """Return the least loaded endpoint, except those that have just refused."""
         open_ones = [
-            item for item in left if self.table.of(item.name).full_until <= now
+            item for item in remaining if self.table.of(item.name).full_until <= now
         ]
         if not open_ones:
             return None
--- a/walnutquay/coordination/routed/calls.py
+++ b/walnutquay/coordination/routed/calls.py
@@ -58,11 +58,11 @@
         :returns: the exchange.
         """
         arrival = turn.arrival
-        left = turn.seconds_left()
+        remaining = turn.seconds_left()
         order = SendOrder(
             instance=grant.name,
             organisation=arrival.organisation.name if arrival.found_by_key else None,
-            seconds_left=left,
+            seconds_left=remaining,
             model=turn.model_name,
             last_event=turn.progress.last_event,
             urgency=self._urgency(turn, grant),
@@ -73,7 +73,7 @@
             peer=grant.name,
             data=arrival.body or None,
             headers=self.dialect.encode_call(arrival.head, order),
-            timeout=max(0.01, left),
+            timeout=max(0.01, remaining),
             idle=self._head_timeout(turn, grant),
             repeatable=arrival.route.repeatable,
         )
--- a/walnutquay/coordination/routed/cascading.py
+++ b/walnutquay/coordination/routed/cascading.py
@@ -191,8 +191,8 @@
 
         :param turn: the request.
         :param endpoint: the endpoint whose answer is dropped.
-        :param decision: the decision.
-        :param case: its inputs.
+        :param decision: the decision to use it.
+        :param case: the inputs of the decision.
         """
         assert decision.larger is not None and turn.first_confidence is not None
         forecast = case.forecasts[decision.larger]
--- a/walnutquay/coordination/routed/cold.py
+++ b/walnutquay/coordination/routed/cold.py
@@ -227,14 +227,14 @@
             warm = any(not self.is_limited(item, now) for item in open_ones)
             if warm or (open_ones and self._is_most_urgent(need.priority)):
                 return open_ones
-            left = min(
+            remaining = min(
                 (self.seconds_left(item, now) for item in found), default=math.inf
             )
-            if now + left > end or now >= end:
+            if now + remaining > end or now >= end:
                 return []
             self.waiting_by_priority[need.priority] += 1
             try:
-                await asyncio.sleep(max(left, MIN_POLL_SECONDS))
+                await asyncio.sleep(max(remaining, MIN_POLL_SECONDS))
             finally:
                 self.waiting_by_priority[need.priority] -= 1
 
--- a/walnutquay/coordination/routed/path.py
+++ b/walnutquay/coordination/routed/path.py
@@ -196,7 +196,8 @@
         :param error: how this was established.
         """
         if error.step in (STEP_CONNECT, STEP_REACH):
-            # Nothing reached the endpoint, so the next attempt repeats no delivery.
+            # Nothing reached the endpoint, so the next attempt is not a repetition and
+            # is not charged to the retry budget.
             turn.retry_counted = True
             self.admission.mark_unreachable(grant, error.step == STEP_REACH)
         turn.sends -= 1
--- a/walnutquay/coordination/routed/promptengines.py
+++ b/walnutquay/coordination/routed/promptengines.py
@@ -122,9 +122,9 @@
 
     def _best_index(self, readings: list[float], objective: float) -> int:
         """Return the index of the engine with the lowest cost."""
-        far = (OTHER_HALL_WAIT_SHARE * objective) ** 2
+        other_hall_cost = (OTHER_HALL_WAIT_SHARE * objective) ** 2
         costs = [
-            (wait + reading) ** 2 + (0.0 if is_near else far)
+            (wait + reading) ** 2 + (0.0 if is_near else other_hall_cost)
             for wait, reading, is_near in zip(
                 self.waits, readings, self.is_near, strict=True
             )
--- a/walnutquay/coordination/routed/reachability.py
+++ b/walnutquay/coordination/routed/reachability.py
@@ -58,9 +58,9 @@
         :param endpoints: the endpoints to choose from.
         """
         halls = {one.hall for one in self.unreachable.values()}
-        near = [item for item in endpoints if item.name not in self.unreachable]
-        fine = [item for item in near if item.hall not in halls]
-        return fine or near or endpoints
+        reachable = [item for item in endpoints if item.name not in self.unreachable]
+        unaffected = [item for item in reachable if item.hall not in halls]
+        return unaffected or reachable or endpoints
 
     def mark_unreachable(self, endpoint: Instance, silent: bool) -> None:
         """Avoid an endpoint that cannot be connected to until it accepts connections.
