--- a/walnutquay/coordination/routed/admission.py
+++ b/walnutquay/coordination/routed/admission.py
@@ -132,7 +132,7 @@
             return Error(
                 Refusal(
                     RefusalCode.NO_ENDPOINT,
-                    f"no endpoint of {service} is available now",
+                    f"no endpoint of {service} can be asked now",
                     NO_ENDPOINT_RETRY_SECONDS,
                 )
             )
@@ -143,7 +143,7 @@
             return Error(
                 Refusal(
                     RefusalCode.NO_ENDPOINT,
-                    f"the endpoints of {service} are cold and at their request limit",
+                    f"the endpoints of {service} are cold, and have what they may get",
                     self.cold.retry_after(),
                 )
             )
--- a/walnutquay/coordination/routed/bodies.py
+++ b/walnutquay/coordination/routed/bodies.py
@@ -90,7 +90,7 @@
                 unreachable = not connecting.done() and not await self.check_reachable()
                 if unreachable and not connecting.done():
                     raise EndpointError(
-                        "it no longer accepts connections",
+                        "it cannot be connected to any more",
                         step=STEP_SILENT,
                         peer=self.exchange.peer,
                     )
@@ -121,9 +121,7 @@
         size += len(data)
         if size > MAX_ANSWER:
             answer.close()
-            raise EndpointError(
-                f"the answer exceeds {MAX_ANSWER} bytes", step="answer", peer=peer
-            )
+            raise EndpointError("the answer is too large", step="answer", peer=peer)
         parts.append(data)
     watched.check(peer)
     return b"".join(parts)
--- a/walnutquay/coordination/routed/path.py
+++ b/walnutquay/coordination/routed/path.py
@@ -114,7 +114,7 @@
             return None
         return Refusal(
             RefusalCode.NOT_READY,
-            "this entry VM has not loaded the configuration yet",
+            "this entry VM does not know the configuration yet",
             NOT_READY_RETRY_SECONDS,
         )
 
@@ -175,7 +175,7 @@
             return turn.last_refusal
         if turn.seconds_left() > 0:
             return None
-        return Refusal(RefusalCode.DEADLINE, "the request's deadline has passed")
+        return Refusal(RefusalCode.DEADLINE, "the request's time is over")
 
     def on_dispatch(self, turn: RoutedTurn, grant: Grant) -> None:
         """Count an attempt, and report it to the version policy.
@@ -206,7 +206,7 @@
         if turn.refusals > MAX_REFUSALS or not self.may_retry(turn):
             turn.last_refusal = Refusal(
                 RefusalCode.NO_ENDPOINT,
-                f"{turn.refusals} endpoints of {turn.service} did not start it",
+                f"{turn.refusals} endpoints of {turn.service} did not take it",
                 REFUSED_RETRY_SECONDS,
             )
 
