--- a/lab/capacity/costvm.py
+++ b/lab/capacity/costvm.py
@@ -156,7 +156,7 @@
         self.cascading = Cascading(
             self.context, self.knowledge, self.places, ModelChoice(), self.peers
         )
-        self.dispatcher.on(m.OpinionNews, self.cascading.hear)
+        self.dispatcher.on(m.OpinionNews, self.cascading.receive)
         self._add_endpoints(engines)
         self.numbers = itertools.count()
 
--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -92,9 +92,9 @@
     Mutation(
         "engines: those that cannot be connected to are not waited for",
         "coordination/routed/bodies.py",
-        "given_up = not waiting.done() and not await self.still_there()",
-        "given_up = False",
-        "tests.coordination.routed.test_silence.DarkEngineTest",
+        "unreachable = not connecting.done() and not await self.check_reachable()",
+        "unreachable = False",
+        "tests.coordination.routed.test_silence.UnreachableEngineTest",
     ),
     Mutation(
         "roll-outs: sessions that another VM keeps stay on the old version",
@@ -335,7 +335,7 @@
         "coordination/routed/cold.py",
         "if self.context.vm not in assigned_senders(instance.name, vms, count):",
         "if False:",
-        "tests.coordination.routed.test_cold.KeepersTest",
+        "tests.coordination.routed.test_cold.SeveralVmsTest",
     ),
     Mutation(
         "cold endpoints: what is sent there is not counted",
@@ -347,7 +347,7 @@
     Mutation(
         "a hall that was emptied: its endpoints are warm at once",
         "daemon/gateway.py",
-        "self.knowledge.halls.back_listeners.append(places.cold.on_hall_back)",
+        "self.knowledge.halls.back_listeners.append(admission.cold.on_hall_back)",
         "pass",
         "tests.coordination.routed.test_cold.HallBackTest",
     ),
--- a/walnutquay/daemon/gateway.py
+++ b/walnutquay/daemon/gateway.py
@@ -195,7 +195,7 @@
     def _make_path(self) -> RoutedPath:
         table = EndpointTable(self.context.hall, self.context.rng)
         versions = self.versions
-        places = RoutedAdmission(
+        admission = RoutedAdmission(
             self.context,
             self.knowledge.instances.book,
             table,
@@ -208,21 +208,21 @@
                 for hall, region in self.options.vm.regions.items()
             },
         )
-        self.knowledge.instances.listeners.append(places.on_instance)
-        self.knowledge.halls.back_listeners.append(places.cold.on_hall_back)
-        PromptUpdates(places, self.peers).listen(self.dispatcher)
+        self.knowledge.instances.listeners.append(admission.on_instance)
+        self.knowledge.halls.back_listeners.append(admission.cold.on_hall_back)
+        PromptUpdates(admission, self.peers).listen(self.dispatcher)
         crashes = self._make_crashes()
         self.knowledge.instances.restart_listeners.append(crashes.on_endpoint_restarted)
         parts = PathParts(
-            self.context, places, table, RetryBudget(), TraceRecorder(), crashes
+            self.context, admission, table, RetryBudget(), TraceRecorder(), crashes
         )
         return RoutedPath(
             parts,
-            places,
+            admission,
             self.knowledge,
             self.client,
             PlatformDialect(),
-            self._make_cascading(places),
+            self._make_cascading(admission),
             versions,
             self._make_budgets(),
         )
@@ -250,11 +250,11 @@
             return False
         return await self.starting.get() is None
 
-    def _make_cascading(self, places: RoutedAdmission) -> Cascading:
+    def _make_cascading(self, admission: RoutedAdmission) -> Cascading:
         cascading = Cascading(
-            self.context, self.knowledge, places, ModelChoice(), self.peers
+            self.context, self.knowledge, admission, ModelChoice(), self.peers
         )
-        self.dispatcher.on(OpinionNews, cascading.hear)
+        self.dispatcher.on(OpinionNews, cascading.receive)
         return cascading
 
     def _make_budgets(self) -> RetryBudgets:
@@ -327,7 +327,7 @@
         self.context.timeline.emit(EventKind.STOPPED)
         self.knowledge.stop()
         self.versions.stop()
-        self.path.places.close()
+        self.path.admission.close()
         self.crash_record.stop()
         self.path.parts.crashes.close()
         # Both at once: little time is left where requests took long to end.
