--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -105,7 +105,7 @@
     ),
     Mutation(
         "roll-outs: a VM that starts takes up what others have decided",
-        "coordination/trials/news.py",
+        "coordination/trials/exchange.py",
         "trial.join(told.report, now)",
         "trial.open = True",
         "tests.coordination.trials.test_session_versions.StartingVmTest",
@@ -113,8 +113,8 @@
     Mutation(
         "roll-outs: what was decided is told twice",
         "coordination/trials/task.py",
-        "DECIDED_TELLS = 2",
-        "DECIDED_TELLS = 1",
+        "DECISION_ANNOUNCEMENTS = 2",
+        "DECISION_ANNOUNCEMENTS = 1",
         "tests.lab.test_trialfleet",
     ),
     Mutation(
@@ -255,27 +255,27 @@
     Mutation(
         "trials: an answer that does not begin counts as soon as it is late",
         "coordination/trials/versions.py",
-        "self.judge.look()",
+        "self.evaluator.look()",
         "pass",
         "tests.coordination.trials.test_versions.WaitingTest",
     ),
     Mutation(
         "trials: an answer of which nothing is known to be usual tells nothing",
-        "coordination/trials/judging.py",
+        "coordination/trials/evaluation.py",
         "        if ratio is not None:\n            sluggish",
         "        ratio = ratio or 0.0\n        if True:\n            sluggish",
-        "tests.coordination.trials.test_judging.UnknownTest.test_it_counts_neither_way",
+        "tests.coordination.trials.test_evaluation.UnknownTest.test_it_counts_neither_way",
     ),
     Mutation(
         "trials: VMs tell each other what is usual",
-        "coordination/trials/news.py",
+        "coordination/trials/exchange.py",
         "self.usual.receive(service, vm, news.report.usual)",
         "pass",
-        "tests.coordination.trials.test_trialnews.UsualTest",
+        "tests.coordination.trials.test_trialexchange.UsualTest",
     ),
     Mutation(
         "trials: what lost VMs had seen is read in the store",
-        "coordination/trials/news.py",
+        "coordination/trials/exchange.py",
         "await self._recover(trial)",
         "pass",
         "tests.coordination.trials.test_trialrecord.AskingTest.test_nobody_has",
--- a/lab/trials/ablation.py
+++ b/lab/trials/ablation.py
@@ -15,7 +15,7 @@
 from lab.trials.fleet import simulate
 from walnutquay.coordination.trials import task as trialtask
 from walnutquay.coordination.trials import versions
-from walnutquay.coordination.trials.news import TrialExchange
+from walnutquay.coordination.trials.exchange import TrialExchange
 from walnutquay.coordination.trials.task import TrialTask
 from walnutquay.state.trials.reports import TrialReport
 from walnutquay.state.trials.trial import Trial
--- a/walnutquay/coordination/trials/judging.py
+++ b/walnutquay/coordination/trials/evaluation.py
@@ -46,7 +46,7 @@
     overdue: set[Measure] = field(default_factory=set)
 
 
-class AnswerJudge:
+class AnswerEvaluator:
     """Counts good and bad answers while a version is on trial.
 
     Each answer counts as it begins, also one that is dropped for a larger model's; one
@@ -141,7 +141,7 @@
         """:param turn: a request that an endpoint is done with, however it ended."""
         self.calls.pop(turn.arrival.request, None)
 
-    def look(self) -> None:
+    def check_overdue(self) -> None:
         """Count the requests whose answers should have begun."""
         now = monotonic()
         for call in list(self.calls.values()):
--- a/walnutquay/daemon/gateway.py
+++ b/walnutquay/daemon/gateway.py
@@ -150,7 +150,7 @@
         self.versions.exchange.record = TrialRecord(
             self.peers,
             ValueStore(self.store),
-            self.versions.judge.usual,
+            self.versions.evaluator.usual,
             self._reads_store,
         )
         self.dispatcher.on(TrialNews, self.versions.exchange.hear)
