--- a/lab/capacity/costvm.py
+++ b/lab/capacity/costvm.py
@@ -261,7 +261,7 @@
                 born=instance.born,
             )
             self.sink._put(moved, monotonic())
-        self.dispatcher.on(m.TrialNews, self.versions.exchange.hear)
+        self.dispatcher.on(m.TrialNews, self.versions.exchange.receive)
 
     # Requests.
 
--- a/lab/trials/ablation.py
+++ b/lab/trials/ablation.py
@@ -15,7 +15,7 @@
 from lab.trials.fleet import simulate
 from walnutquay.coordination.trials import task as trialtask
 from walnutquay.coordination.trials import versions
-from walnutquay.coordination.trials.news import TrialExchange
+from walnutquay.coordination.trials.exchange import TrialExchange
 from walnutquay.coordination.trials.task import TrialTask
 from walnutquay.state.trials.reports import TrialReport
 from walnutquay.state.trials.trial import Trial
@@ -64,7 +64,7 @@
 def switched_off() -> dict[str, AbstractContextManager]:
     """:returns: what switches each part off, by the part's name."""
     nothing_kept = mock.patch.object(Trial, "must_stay_on_old", lambda *_: False)
-    told_once = mock.patch.object(trialtask, "DECIDED_TELLS", 1)
+    told_once = mock.patch.object(trialtask, "DECISION_ANNOUNCEMENTS", 1)
     at_once = mock.patch.object(versions, "SETTLE_SECONDS", 0.0)
     nobody_asked = mock.patch.object(TrialExchange, "catch_up", _ask_nobody)
     kept_only = mock.patch.object(Trial, "receive_decisions", _hear_kept_only)
--- a/lab/trials/fleet.py
+++ b/lab/trials/fleet.py
@@ -24,7 +24,7 @@
 from lab.trials.records import Findings, Served, Vm
 from walnutquay.coordination.process.context import Context, Timeline, new_incarnation
 from walnutquay.coordination.trials import answers as orderanswers
-from walnutquay.coordination.trials import news as trialnews
+from walnutquay.coordination.trials import exchange as trialexchange
 from walnutquay.coordination.trials import sessions as sessionkeeping
 from walnutquay.coordination.trials import versions
 from walnutquay.coordination.trials.versions import VersionTrials
@@ -125,7 +125,7 @@
         """Have the VMs' code read the simulated time."""
         with (
             mock.patch.object(versions, "monotonic", lambda: self.now),
-            mock.patch.object(trialnews, "monotonic", lambda: self.now),
+            mock.patch.object(trialexchange, "monotonic", lambda: self.now),
             mock.patch.object(sessionkeeping, "monotonic", lambda: self.now),
             mock.patch.object(versions, "unix_seconds", lambda: self.now),
             mock.patch.object(orderanswers, "monotonic", lambda: self.now),
@@ -296,7 +296,7 @@
                 self.found.bytes_between_halls += size
             if self.rng.random() >= LOST_SHARE:
                 delay = self.rng.uniform(*DELAY_SECONDS)
-                self.after(delay, lambda vm=vm: vm.trials.exchange.hear(envelope))
+                self.after(delay, lambda vm=vm: vm.trials.exchange.receive(envelope))
 
     def ask(self, sender: VmName, body: Message) -> Message | None:
         """Ask some other VMs.
--- a/tests/coordination/trials/test_judging.py
+++ b/tests/coordination/trials/test_evaluation.py
@@ -8,11 +8,11 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from walnutquay.coordination.trials import judging
-from walnutquay.coordination.trials.judging import (
+from walnutquay.coordination.trials import evaluation
+from walnutquay.coordination.trials.evaluation import (
     SLOW_FACTOR,
     SLUGGISH_FACTOR,
-    AnswerJudge,
+    AnswerEvaluator,
 )
 from walnutquay.state.process.ids import (
     EndpointName,
@@ -54,17 +54,17 @@
 
     def setUp(self) -> None:
         self.now = 100.0
-        patch = mock.patch.object(judging, "monotonic", lambda: self.now)
+        patch = mock.patch.object(evaluation, "monotonic", lambda: self.now)
         patch.start()
         self.addCleanup(patch.stop)
         self.trial = Trial(ORDER, 0.0, 0.15)
-        self.judge = AnswerJudge(lambda service: self.trial, lambda trial: None)
+        self.evaluator = AnswerEvaluator(lambda service: self.trial, lambda trial: None)
         self.new = grant("v2", "new-1")
 
     def learn_usual(self) -> None:
         """Let the old version answer some requests."""
         for _ in range(MIN_SEEN):
-            self.judge.begun(turn(), grant("v1", "old-1"), USUAL)
+            self.evaluator.begun(turn(), grant("v1", "old-1"), USUAL)
 
     def counts(self, measure: Measure) -> tuple[int, int]:
         """:returns: good and bad answers of the new version."""
@@ -81,18 +81,18 @@
     # found good, and got 217 requests where a bad one may get 198.
 
     def test_it_counts_neither_way(self):
-        self.judge.sent(turn(), self.new)
-        self.judge.begun(turn(), self.new, 5.0)
-        self.judge.succeeded(turn(), self.new, 5.0)
+        self.evaluator.sent(turn(), self.new)
+        self.evaluator.begun(turn(), self.new, 5.0)
+        self.evaluator.succeeded(turn(), self.new, 5.0)
         self.assertEqual(self.counts(Measure.SLUGGISH), (0, 0))
         self.assertEqual(self.counts(Measure.SLOW), (0, 0))
         self.assertEqual(self.counts(Measure.FAILED), (1, 0))
 
     def test_what_others_tell_is_enough(self):
         row = BaselineTime(kind_hash(KIND), USUAL, MIN_SEEN)
-        self.judge.usual.receive(SERVICE, VmName("vm-2"), (row,))
-        self.judge.sent(turn(), self.new)
-        self.judge.begun(turn(), self.new, 5.0)
+        self.evaluator.baseline.receive(SERVICE, VmName("vm-2"), (row,))
+        self.evaluator.sent(turn(), self.new)
+        self.evaluator.begun(turn(), self.new, 5.0)
         self.assertEqual(self.counts(Measure.SLUGGISH), (0, 1))
 
 
@@ -106,12 +106,12 @@
     def wait(self, factor: float) -> None:
         """Let so many times the usual time pass, while the endpoint answers others."""
         self.now += factor * USUAL + 0.001
-        self.judge.begun(turn("another"), grant("v2", "new-1"), USUAL)
+        self.evaluator.begun(turn("another"), grant("v2", "new-1"), USUAL)
         self.trial.own.by_subject.clear()
-        self.judge.look()
+        self.evaluator.check_overdue()
 
     def test_one_that_waits_counts_while_it_does(self):
-        self.judge.sent(turn(), self.new)
+        self.evaluator.sent(turn(), self.new)
         self.wait(SLUGGISH_FACTOR)
         self.assertEqual(self.counts(Measure.SLUGGISH), (0, 1))
         self.assertEqual(self.counts(Measure.SLOW), (0, 0))
@@ -119,31 +119,31 @@
         self.assertEqual(self.counts(Measure.SLOW), (0, 1))
 
     def test_it_counts_once(self):
-        self.judge.sent(turn(), self.new)
+        self.evaluator.sent(turn(), self.new)
         self.wait(SLOW_FACTOR)
-        self.judge.look()
-        self.judge.begun(turn(), self.new, 6 * USUAL)
-        self.judge.succeeded(turn(), self.new, 6 * USUAL)
+        self.evaluator.check_overdue()
+        self.evaluator.begun(turn(), self.new, 6 * USUAL)
+        self.evaluator.succeeded(turn(), self.new, 6 * USUAL)
         self.assertEqual(self.counts(Measure.SLUGGISH), (0, 1))
         self.assertEqual(self.counts(Measure.SLOW), (0, 1))
 
     def test_one_that_was_given_up_stays_counted(self):
-        self.judge.sent(turn(), self.new)
+        self.evaluator.sent(turn(), self.new)
         self.wait(SLOW_FACTOR)
-        self.judge.left(turn())
-        self.judge.look()
+        self.evaluator.left(turn())
+        self.evaluator.check_overdue()
         self.assertEqual(self.counts(Measure.SLOW), (0, 1))
 
     def test_a_dark_endpoint_is_no_slow_version(self):
-        self.judge.sent(turn(), self.new)
+        self.evaluator.sent(turn(), self.new)
         self.now += 10 * USUAL
-        self.judge.look()
+        self.evaluator.check_overdue()
         self.assertEqual(self.counts(Measure.SLUGGISH), (0, 0))
 
     def test_an_answer_that_is_dropped_for_a_larger_models_counts(self):
-        self.judge.sent(turn(), self.new)
-        self.judge.begun(turn(), self.new, 3 * USUAL)
-        self.judge.left(turn())
+        self.evaluator.sent(turn(), self.new)
+        self.evaluator.begun(turn(), self.new, 3 * USUAL)
+        self.evaluator.left(turn())
         self.assertEqual(self.counts(Measure.SLUGGISH), (0, 1))
 
 
--- a/tests/coordination/trials/test_trialnews.py
+++ b/tests/coordination/trials/test_trialexchange.py
@@ -9,9 +9,9 @@
 from unittest import mock
 
 from walnutquay.coordination.process.context import Context, Timeline, new_incarnation
-from walnutquay.coordination.trials import news as trialnews
-from walnutquay.coordination.trials.news import LAST_CALL_SECONDS, TrialExchange
-from walnutquay.coordination.trials.task import DECIDED_TELLS, TrialTask
+from walnutquay.coordination.trials import exchange as trialexchange
+from walnutquay.coordination.trials.exchange import LAST_CALL_SECONDS, TrialExchange
+from walnutquay.coordination.trials.task import DECISION_ANNOUNCEMENTS, TrialTask
 from walnutquay.coordination.trials.versions import VersionTrials
 from walnutquay.protocol.messages import (
     AskTrial,
@@ -72,7 +72,7 @@
 
     def setUp(self) -> None:
         self.now = 0.0
-        patch = mock.patch.object(trialnews, "monotonic", lambda: self.now)
+        patch = mock.patch.object(trialexchange, "monotonic", lambda: self.now)
         patch.start()
         self.addCleanup(patch.stop)
         vm = VmName("vm-1")
@@ -99,7 +99,7 @@
     def hear(self, report: TrialReport, incarnation: str = "inc") -> None:
         """Hear from another VM."""
         body = TrialNews(report)
-        self.exchange.hear(Envelope("vm-2", incarnation, Stamp(1, 0), body))
+        self.exchange.receive(Envelope("vm-2", incarnation, Stamp(1, 0), body))
 
 
 class TellingTest(ExchangeCase):
@@ -122,7 +122,9 @@
         self.now = 10.0
         self.task.decided()
         found = [self.tick(10.0 + 0.25 * number) for number in range(4)]
-        self.assertEqual(found, [1] * DECIDED_TELLS + [0] * (4 - DECIDED_TELLS))
+        self.assertEqual(
+            found, [1] * DECISION_ANNOUNCEMENTS + [0] * (4 - DECISION_ANNOUNCEMENTS)
+        )
 
     def test_counts_wait_for_their_turn(self):
         self.tick(10.0)
@@ -295,7 +297,7 @@
 
     def take(self, vm: str, news: TrialNews) -> None:
         """Hear from a VM."""
-        self.exchange.hear(Envelope(vm, "incarnation", Stamp(1, 0), news))
+        self.exchange.receive(Envelope(vm, "incarnation", Stamp(1, 0), news))
 
     def test_a_vm_tells_its_counts_in_its_hall_only(self):
         self.task.trial.own.add(SUBJECT, True, "i-1")
--- a/tests/coordination/trials/test_trialrecord.py
+++ b/tests/coordination/trials/test_trialrecord.py
@@ -11,7 +11,7 @@
 
 from walnutquay.coordination.process.context import Context, Timeline, new_incarnation
 from walnutquay.coordination.trials import record as trialrecord
-from walnutquay.coordination.trials.news import TrialExchange
+from walnutquay.coordination.trials.exchange import TrialExchange
 from walnutquay.coordination.trials.record import WRITE_SECONDS, TrialRecord, encode
 from walnutquay.coordination.trials.task import TrialTask
 from walnutquay.exceptions import PlatformConflictError, PlatformUnavailableError
--- a/tests/coordination/trials/test_versions.py
+++ b/tests/coordination/trials/test_versions.py
@@ -8,7 +8,7 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from walnutquay.coordination.trials import judging
+from walnutquay.coordination.trials import evaluation
 from walnutquay.coordination.trials.task import TrialTask
 from walnutquay.coordination.trials.versions import VersionTrials
 from walnutquay.protocol.messages import Message
@@ -104,8 +104,8 @@
         for _ in range(20):
             found.answer_began(turn(), grant("v1"), USUAL)
         now = 100.0
-        with mock.patch.object(judging, "monotonic", lambda: now):
-            found.judge.sent(turn(), grant("v2"))
+        with mock.patch.object(evaluation, "monotonic", lambda: now):
+            found.evaluator.sent(turn(), grant("v2"))
             now += 2 * USUAL
             other = turn()
             other.arrival.request = "r2"
--- a/walnutquay/coordination/trials/judging.py
+++ b/walnutquay/coordination/trials/evaluation.py
@@ -46,7 +46,7 @@
     overdue: set[Measure] = field(default_factory=set)
 
 
-class AnswerJudge:
+class AnswerEvaluator:
     """Counts good and bad answers while a version is on trial.
 
     Each answer counts as it begins, also one that is dropped for a larger model's; one
@@ -64,7 +64,7 @@
     ) -> None:
         self.trial_of = trial_of
         self.on_bad = on_bad
-        self.usual = BaselineTimes()
+        self.baseline = BaselineTimes()
         # What endpoints have now, of services whose version is on trial.
         self.calls: dict[RequestId, Call] = {}
         # When each endpoint last began an answer; monotonic seconds.
@@ -95,7 +95,7 @@
             call.begun = True
         ratio = self._ratio("head", turn, seconds)
         if not self.on_trial(grant):
-            self.usual.learn(turn.service, _kind("head", turn), seconds)
+            self.baseline.learn(turn.service, _kind("head", turn), seconds)
         if ratio is not None:
             sluggish = ratio > SLUGGISH_FACTOR
             self._count_once(turn, grant, Measure.SLUGGISH, sluggish)
@@ -124,7 +124,7 @@
         head = self._ratio("head", turn, seconds)
         paused = self._ratio("pause", turn, pause)
         if not self.on_trial(grant):
-            self.usual.learn(turn.service, _kind("pause", turn), pause)
+            self.baseline.learn(turn.service, _kind("pause", turn), pause)
         if head is not None or paused is not None:
             slow = (head or 0.0) > SLOW_FACTOR or (paused or 0.0) > SLOW_PAUSE_FACTOR
             self._count_once(turn, grant, Measure.SLOW, slow)
@@ -141,7 +141,7 @@
         """:param turn: a request that an endpoint is done with, however it ended."""
         self.calls.pop(turn.arrival.request, None)
 
-    def look(self) -> None:
+    def check_overdue(self) -> None:
         """Count the requests whose answers should have begun."""
         now = monotonic()
         for call in list(self.calls.values()):
@@ -179,7 +179,7 @@
 
         :returns: how many times as long it is; None where that is not known.
         """
-        return self.usual.ratio(turn.service, _kind(measure, turn), seconds)
+        return self.baseline.ratio(turn.service, _kind(measure, turn), seconds)
 
     def _count_once(
         self, turn: RoutedTurn, grant: Grant, measure: Measure, bad: bool
--- a/walnutquay/coordination/trials/news.py
+++ b/walnutquay/coordination/trials/exchange.py
@@ -108,7 +108,7 @@
         self.context = context
         self.peers = peers
         self.tasks = tasks
-        self.usual = usual
+        self.baseline = usual
         self.on_unknown = on_unknown
         # What VMs that are lost had seen, where it is kept.
         self.record: TrialRecord | None = None
@@ -139,7 +139,7 @@
         Others that get answers of the new version may not know it.
         """
         service = task.trial.order.service
-        return not task.told_usual and bool(self.usual.rows(service))
+        return not task.told_usual and bool(self.baseline.rows(service))
 
     def _by_halls(self) -> bool:
         """Whether counts go from hall to hall, and not from each VM to all."""
@@ -156,7 +156,7 @@
         task.told_at = now
         task.told = trial.own.frozen()
         task.tells = max(0, task.tells - 1)
-        usual = self.usual.rows(trial.order.service)
+        usual = self.baseline.rows(trial.order.service)
         task.told_usual = bool(usual)
         report = replace(trial.report(now), usual=usual)
         if not self._by_halls():
@@ -173,7 +173,7 @@
         """Tell the other data halls what this one has seen, if that is news."""
         if not self._by_halls() or not self.peers.is_relay():
             return
-        usual = self.usual.rows_of_hall(task.trial.order.service)
+        usual = self.baseline.rows_of_hall(task.trial.order.service)
         report = replace(task.trial.report_of_hall(now), usual=usual)
         if report.counts != task.relayed:
             task.relayed = report.counts
@@ -195,7 +195,7 @@
             **counts,
         )
 
-    def hear(self, envelope: Envelope) -> None:
+    def receive(self, envelope: Envelope) -> None:
         """Take in what another VM tells of a trial.
 
         :param envelope: its message.
@@ -232,7 +232,7 @@
         sender = self.peers.hall_of(vm)
         service = trial.order.service
         if news.hall and news.hall != here:
-            self.usual.receive_from_hall(service, news.hall, news.report.usual)
+            self.baseline.receive_from_hall(service, news.hall, news.report.usual)
             told = trial.receive_from_hall(news.hall, news.report, now)
             # Two relays of that hall tell the same to two of this one.
             if told and sender != here:
@@ -241,7 +241,7 @@
             # What this VM has seen comes with the counts of its hall.
             trial.receive_decisions(news.report, now)
         else:
-            self.usual.receive(service, vm, news.report.usual)
+            self.baseline.receive(service, vm, news.report.usual)
             process = VmProcess(f"{vm}/{envelope.incarnation}")
             trial.receive(process, news.report, now)
 
@@ -264,7 +264,7 @@
             known = (order.name, order.version) == (question.order, question.version)
             if known and not task.asking:
                 report = task.trial.report(monotonic(), whole=True)
-                usual = self.usual.all_rows(order.service)
+                usual = self.baseline.all_rows(order.service)
                 return TrialNews(replace(report, usual=usual))
         return Failure(f"no trial of {question.version} is known here")
 
@@ -304,7 +304,7 @@
         if isinstance(told, TrialNews):
             # Only what holds for all VMs: the sender's counts come with its news.
             trial.join(told.report, now)
-            self.usual.recover(trial.order.service, told.report.usual)
+            self.baseline.recover(trial.order.service, told.report.usual)
         else:
             # None that could be asked knows more than what stands in the store.
             trial.open = now >= trial.opens_at
--- a/walnutquay/coordination/trials/record.py
+++ b/walnutquay/coordination/trials/record.py
@@ -113,7 +113,7 @@
     ) -> None:
         self.keepers = keepers
         self.values = values
-        self.usual = usual
+        self.baseline = usual
         self.reads = reads
         self.tasks = Tasks()
         # What was written last of each order, when, and as which version of the value.
@@ -144,7 +144,7 @@
     async def _write(self, trial: Trial, report: TrialReport) -> None:
         order = trial.order.name
         name = _value(order)
-        data = encode(report, self.usual.all_rows(trial.order.service))
+        data = encode(report, self.baseline.all_rows(trial.order.service))
         try:
             if order not in self.versions:
                 self.versions[order] = (await self.values.read(name)).version
@@ -183,7 +183,7 @@
         if found.version != order.version:
             return False
         trial.recover(report, monotonic())
-        self.usual.recover(order.service, report.usual)
+        self.baseline.recover(order.service, report.usual)
         return True
 
 
--- a/walnutquay/coordination/trials/sessions.py
+++ b/walnutquay/coordination/trials/sessions.py
@@ -10,7 +10,7 @@
 
 from walnutquay.coordination.requests.places import Grant
 from walnutquay.coordination.routed.turn import RoutedTurn
-from walnutquay.coordination.trials.news import LAST_CALL_SECONDS, Peers
+from walnutquay.coordination.trials.exchange import LAST_CALL_SECONDS, Peers
 from walnutquay.coordination.trials.task import TrialTask
 from walnutquay.protocol.messages import Envelope, SessionsSeen, SessionsTaken
 from walnutquay.state.process.ids import ServiceName, VersionName
--- a/walnutquay/coordination/trials/task.py
+++ b/walnutquay/coordination/trials/task.py
@@ -12,7 +12,7 @@
 FIRST_WRITE_SPREAD = 1.0
 # What was decided is told so often: a datagram may be lost, or come to a VM that does
 # not know of the order yet.
-DECIDED_TELLS = 2
+DECISION_ANNOUNCEMENTS = 2
 
 
 @dataclass(slots=True)
@@ -44,4 +44,4 @@
 
     def decided(self) -> None:
         """Have the others told soon of what was decided here for all VMs."""
-        self.tells = DECIDED_TELLS
+        self.tells = DECISION_ANNOUNCEMENTS
--- a/walnutquay/coordination/trials/versions.py
+++ b/walnutquay/coordination/trials/versions.py
@@ -18,8 +18,8 @@
     OrderStore,
     unix_seconds,
 )
-from walnutquay.coordination.trials.judging import AnswerJudge
-from walnutquay.coordination.trials.news import Peers, TrialExchange, facts_of
+from walnutquay.coordination.trials.evaluation import AnswerEvaluator
+from walnutquay.coordination.trials.exchange import Peers, TrialExchange, facts_of
 from walnutquay.coordination.trials.sessions import SessionKeeper
 from walnutquay.coordination.trials.task import FIRST_WRITE_SPREAD, TrialTask
 from walnutquay.exceptions import PlatformConflictError, PlatformError
@@ -82,9 +82,9 @@
         self.heard_of: LatestTable[tuple[str, str], bool] = LatestTable(
             MAX_HEARD_OF, bool
         )
-        self.judge = AnswerJudge(self.trial_of, self._judge)
+        self.evaluator = AnswerEvaluator(self.trial_of, self._judge)
         self.exchange = TrialExchange(
-            context, peers, self.tasks, self.judge.usual, self._on_unknown
+            context, peers, self.tasks, self.evaluator.baseline, self._on_unknown
         )
         self.sessions = SessionKeeper(
             self.tasks, peers, self.exchange.tell, promises.session_seconds
@@ -270,7 +270,7 @@
         :param grant: the endpoint.
         """
         self.sessions.began(turn, grant)
-        self.judge.sent(turn, grant)
+        self.evaluator.sent(turn, grant)
 
     def answer_began(self, turn: RoutedTurn, grant: Grant, seconds: float) -> None:
         """:param turn: a request whose answer begins.
@@ -278,7 +278,7 @@
         :param grant: who answers.
         :param seconds: since it was sent.
         """
-        self.judge.begun(turn, grant, seconds)
+        self.evaluator.begun(turn, grant, seconds)
 
     def left(self, turn: RoutedTurn, grant: Grant) -> None:
         """:param turn: a request that an endpoint is done with, however it ended.
@@ -286,7 +286,7 @@
         :param grant: the endpoint.
         """
         self.sessions.left(turn, grant)
-        self.judge.left(turn)
+        self.evaluator.left(turn)
 
     def succeeded(self, turn: RoutedTurn, grant: Grant, seconds: float) -> None:
         """:param turn: a request that was answered, or a short stream.
@@ -294,7 +294,7 @@
         :param grant: who answered.
         :param seconds: until the answer's head.
         """
-        self.judge.succeeded(turn, grant, seconds)
+        self.evaluator.succeeded(turn, grant, seconds)
 
     def paced(
         self, turn: RoutedTurn, grant: Grant, seconds: float, pause: float
@@ -305,15 +305,15 @@
         :param seconds: until the answer's head.
         :param pause: the mean time between its first events.
         """
-        self.judge.paced(turn, grant, seconds, pause)
+        self.evaluator.paced(turn, grant, seconds, pause)
 
     def failed(self, turn: RoutedTurn, grant: Grant) -> None:
         """:param turn: a request whose endpoint answered that it failed.
 
         :param grant: the endpoint.
         """
-        self.judge.failed(turn, grant)
-        if self.judge.on_trial(grant):
+        self.evaluator.failed(turn, grant)
+        if self.evaluator.on_trial(grant):
             turn.avoid_new = True
 
     # Decisions.
@@ -337,7 +337,7 @@
 
     async def decide(self) -> None:
         """Look at each trial, and do what it needs."""
-        self.judge.look()
+        self.evaluator.check_overdue()
         for task in list(self.tasks.values()):
             try:
                 await self._decide(task)
--- a/walnutquay/daemon/gateway.py
+++ b/walnutquay/daemon/gateway.py
@@ -150,10 +150,10 @@
         self.versions.exchange.record = TrialRecord(
             self.peers,
             ValueStore(self.store),
-            self.versions.judge.usual,
+            self.versions.evaluator.baseline,
             self._reads_store,
         )
-        self.dispatcher.on(TrialNews, self.versions.exchange.hear)
+        self.dispatcher.on(TrialNews, self.versions.exchange.receive)
         self.dispatcher.on(AskTrial, self.versions.exchange.answer)
         self.dispatcher.on(SessionsSeen, self.versions.sessions.take_over)
         self.path = self._make_path()
