--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -106,7 +106,7 @@
     Mutation(
         "roll-outs: a VM that starts takes up what others have decided",
         "coordination/trials/exchange.py",
-        "trial.join(told.report, now)",
+        "trial.join(response.report, now)",
         "trial.open = True",
         "tests.coordination.trials.test_session_versions.StartingVmTest",
     ),
@@ -256,28 +256,29 @@
         "coordination/trials/versions.py",
         "self.evaluator.check_overdue()",
         "pass",
-        "tests.coordination.trials.test_versions.WaitingTest",
+        "tests.coordination.trials.test_versions.OverdueTest",
     ),
     Mutation(
         "trials: an answer of which nothing is known to be usual tells nothing",
         "coordination/trials/evaluation.py",
         "        if ratio is not None:\n            sluggish",
         "        ratio = ratio or 0.0\n        if True:\n            sluggish",
-        "tests.coordination.trials.test_evaluation.UnknownTest.test_it_counts_neither_way",
+        "tests.coordination.trials.test_evaluation.NoBaselineTest.test_times_are_not_counted",
     ),
     Mutation(
         "trials: VMs tell each other what is usual",
         "coordination/trials/exchange.py",
-        "self.baseline.receive(service, vm, news.report.usual)",
+        "self.baseline.receive(service, vm, update.report.usual)",
         "pass",
-        "tests.coordination.trials.test_trialexchange.UsualTest",
+        "tests.coordination.trials.test_trialexchange.BaselineTest",
     ),
     Mutation(
         "trials: what lost VMs had seen is read in the store",
         "coordination/trials/exchange.py",
         "await self._recover(trial)",
         "pass",
-        "tests.coordination.trials.test_trialrecord.AskingTest.test_nobody_has",
+        "tests.coordination.trials.test_trialrecord.CatchUpTest."
+        "test_the_store_is_read_if_nobody_has_seen_answers",
     ),
     Mutation(
         "list of VMs: one that starts where its entry was left says that it is back",
--- a/tests/coordination/trials/__init__.py
+++ b/tests/coordination/trials/__init__.py
@@ -1,3 +1,3 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Tests of versions on trial."""
+"""Tests of trials of new versions."""
--- a/tests/coordination/trials/test_evaluation.py
+++ b/tests/coordination/trials/test_evaluation.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""How answers of a version on trial are judged by their times."""
+"""Tests of how answers of a version on trial are evaluated by their times."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 from walnutquay.state.trials.trial import Trial
 
 SERVICE = ServiceName("s")
-USUAL = 0.1
+BASELINE = 0.1
 KIND = "head/r/0"
 ORDER = RolloutOrder("s", 1, SERVICE, VersionName("v2"), 60.0, OrderState.RUNNING)
 
 
 def grant(version: str, name: str) -> SimpleNamespace:
-    """:returns: a place at an endpoint that runs a version."""
+    """Return a slot at an endpoint that runs a version."""
     endpoint = Instance(
         EndpointName(name), SERVICE, "http://x", HallName("h"), VersionName(version), 8
     )
@@ -44,13 +44,13 @@
 
 
 def turn(request: str = "r1") -> SimpleNamespace:
-    """:returns: a request."""
+    """Return a request."""
     arrival = SimpleNamespace(route=SimpleNamespace(name="r"), request=request)
     return SimpleNamespace(arrival=arrival, service=SERVICE, model=0)
 
 
-class JudgeCase(unittest.TestCase):
-    """A trial of v2, and a clock."""
+class EvaluatorCase(unittest.TestCase):
+    """An evaluator with a trial of v2, and a simulated clock."""
 
     def setUp(self) -> None:
         self.now = 100.0
@@ -61,56 +61,59 @@
         self.evaluator = AnswerEvaluator(lambda service: self.trial, lambda trial: None)
         self.new = grant("v2", "new-1")
 
-    def learn_usual(self) -> None:
-        """Let the old version answer some requests."""
+    def learn_baseline(self) -> None:
+        """Let the old version answer enough requests for a baseline."""
         for _ in range(MIN_SEEN):
-            self.evaluator.begun(turn(), grant("v1", "old-1"), USUAL)
+            self.evaluator.answer_began(turn(), grant("v1", "old-1"), BASELINE)
 
     def counts(self, measure: Measure) -> tuple[int, int]:
-        """:returns: good and bad answers of the new version."""
+        """Return the numbers of good and bad answers of the new version."""
         total = self.trial.own.total(measure)
         return total.good, total.bad
 
 
-class UnknownTest(JudgeCase):
-    """Where nothing is known of what is usual, an answer tells nothing of its time."""
+class NoBaselineTest(EvaluatorCase):
+    """Without a baseline, an answer's times count neither as good nor as bad."""
 
-    # All VMs were lost during a trial, and what was usual with them.  The answers of
-    # the slow version counted as good ones then: "sluggish 0 of 27" while 15 of the 19
-    # of the last second had taken over 1.5 times the old version's median.  It was
-    # found good, and got 217 requests where a bad one may get 198.
+    # All VMs were lost during a trial, and the baseline with them.  The answers of the
+    # slow version then counted as good: "sluggish 0 of 27", although 15 of the 19
+    # answers of the last second had taken over 1.5 times the old version's median.  The
+    # version was found good, and got 217 requests where a bad one may get 198.
 
-    def test_it_counts_neither_way(self):
+    def test_times_are_not_counted(self):
         self.evaluator.sent(turn(), self.new)
-        self.evaluator.begun(turn(), self.new, 5.0)
+        self.evaluator.answer_began(turn(), self.new, 5.0)
         self.evaluator.succeeded(turn(), self.new, 5.0)
         self.assertEqual(self.counts(Measure.SLUGGISH), (0, 0))
         self.assertEqual(self.counts(Measure.SLOW), (0, 0))
         self.assertEqual(self.counts(Measure.FAILED), (1, 0))
 
-    def test_what_others_tell_is_enough(self):
-        row = BaselineTime(kind_hash(KIND), USUAL, MIN_SEEN)
+    def test_a_received_baseline_is_enough(self):
+        row = BaselineTime(kind_hash(KIND), BASELINE, MIN_SEEN)
         self.evaluator.baseline.receive(SERVICE, VmName("vm-2"), (row,))
         self.evaluator.sent(turn(), self.new)
-        self.evaluator.begun(turn(), self.new, 5.0)
+        self.evaluator.answer_began(turn(), self.new, 5.0)
         self.assertEqual(self.counts(Measure.SLUGGISH), (0, 1))
 
 
-class LateTest(JudgeCase):
-    """Answers that come late or never are the ones that tell of a slow version."""
+class OverdueTest(EvaluatorCase):
+    """Answers that arrive late or never count, as they show that a version is slow."""
 
     def setUp(self) -> None:
         super().setUp()
-        self.learn_usual()
+        self.learn_baseline()
 
     def wait(self, factor: float) -> None:
-        """Let so many times the usual time pass, while the endpoint answers others."""
-        self.now += factor * USUAL + 0.001
-        self.evaluator.begun(turn("another"), grant("v2", "new-1"), USUAL)
+        """Wait while the endpoint answers others.
+
+        :param factor: how long to wait, as a multiple of the baseline time.
+        """
+        self.now += factor * BASELINE + 0.001
+        self.evaluator.answer_began(turn("another"), grant("v2", "new-1"), BASELINE)
         self.trial.own.by_subject.clear()
         self.evaluator.check_overdue()
 
-    def test_one_that_waits_counts_while_it_does(self):
+    def test_a_waiting_request_counts(self):
         self.evaluator.sent(turn(), self.new)
         self.wait(SLUGGISH_FACTOR)
         self.assertEqual(self.counts(Measure.SLUGGISH), (0, 1))
@@ -118,77 +121,77 @@
         self.wait(SLOW_FACTOR)
         self.assertEqual(self.counts(Measure.SLOW), (0, 1))
 
-    def test_it_counts_once(self):
+    def test_a_request_counts_once(self):
         self.evaluator.sent(turn(), self.new)
         self.wait(SLOW_FACTOR)
         self.evaluator.check_overdue()
-        self.evaluator.begun(turn(), self.new, 6 * USUAL)
-        self.evaluator.succeeded(turn(), self.new, 6 * USUAL)
+        self.evaluator.answer_began(turn(), self.new, 6 * BASELINE)
+        self.evaluator.succeeded(turn(), self.new, 6 * BASELINE)
         self.assertEqual(self.counts(Measure.SLUGGISH), (0, 1))
         self.assertEqual(self.counts(Measure.SLOW), (0, 1))
 
-    def test_one_that_was_given_up_stays_counted(self):
+    def test_an_abandoned_request_stays_counted(self):
         self.evaluator.sent(turn(), self.new)
         self.wait(SLOW_FACTOR)
         self.evaluator.left(turn())
         self.evaluator.check_overdue()
         self.assertEqual(self.counts(Measure.SLOW), (0, 1))
 
-    def test_a_dark_endpoint_is_no_slow_version(self):
+    def test_a_silent_endpoint_does_not_count(self):
         self.evaluator.sent(turn(), self.new)
-        self.now += 10 * USUAL
+        self.now += 10 * BASELINE
         self.evaluator.check_overdue()
         self.assertEqual(self.counts(Measure.SLUGGISH), (0, 0))
 
-    def test_an_answer_that_is_dropped_for_a_larger_models_counts(self):
+    def test_an_answer_dropped_for_a_larger_model_counts(self):
         self.evaluator.sent(turn(), self.new)
-        self.evaluator.begun(turn(), self.new, 3 * USUAL)
+        self.evaluator.answer_began(turn(), self.new, 3 * BASELINE)
         self.evaluator.left(turn())
         self.assertEqual(self.counts(Measure.SLUGGISH), (0, 1))
 
 
 class OneEndpointTest(unittest.TestCase):
-    """One endpoint may be ill by itself."""
+    """A single endpoint may be faulty by itself, without a fault of its version."""
 
-    def test_its_sluggish_answers_need_to_be_many(self):
-        for bad, found in ((7, False), (8, True)):
-            one = TrialCounts(12 - bad, bad, frozenset({EndpointName("new-1")}))
-            self.assertIs(judged_sluggish(one), found)
+    def test_many_sluggish_answers_are_needed(self):
+        for bad, rejected in ((7, False), (8, True)):
+            counts = TrialCounts(12 - bad, bad, frozenset({EndpointName("new-1")}))
+            self.assertIs(is_rejected_as_sluggish(counts), rejected)
 
 
-def judged_sluggish(counts: TrialCounts) -> bool:
-    """:returns: whether a version with these answers is found to be slow in part."""
+def is_rejected_as_sluggish(counts: TrialCounts) -> bool:
+    """Return whether a version with these counts is rejected as sluggish."""
     trial = Trial(ORDER, 0.0, 0.15)
     trial.own.by_subject[Measure.SLUGGISH, "r"] = counts
     return trial.fault() is Fault.SLUGGISH
 
 
-class UsualTimesTest(unittest.TestCase):
-    """What is usual is put together from what VMs have seen."""
+class BaselineTimesTest(unittest.TestCase):
+    """The baseline combines the times of all VMs."""
 
     def row(self, seconds: float, seen: int) -> BaselineTime:
-        """:returns: what another VM has seen."""
+        """Return a row that another VM has measured."""
         return BaselineTime(kind_hash(KIND), seconds, seen)
 
-    def test_few_answers_each_are_enough_together(self):
-        usual = BaselineTimes()
-        usual.learn(SERVICE, KIND, 0.1)
-        self.assertIsNone(usual.ratio(SERVICE, KIND, 1.0))
-        usual.receive(SERVICE, VmName("vm-2"), (self.row(0.1, 2),))
-        usual.receive_from_hall(SERVICE, HallName("h"), (self.row(0.3, 3),))
-        self.assertAlmostEqual(usual.ratio(SERVICE, KIND, 0.4), 2.0)
-
-    def test_a_hall_tells_what_its_vms_have_seen(self):
-        usual = BaselineTimes()
-        usual.learn(SERVICE, KIND, 0.1)
-        usual.receive(SERVICE, VmName("vm-2"), (self.row(0.2, 1),))
-        usual.receive_from_hall(SERVICE, HallName("h"), (self.row(9.0, 9),))
-        (row,) = usual.rows_of_hall(SERVICE)
+    def test_few_answers_from_each_source_are_enough(self):
+        baseline = BaselineTimes()
+        baseline.learn(SERVICE, KIND, 0.1)
+        self.assertIsNone(baseline.ratio(SERVICE, KIND, 1.0))
+        baseline.receive(SERVICE, VmName("vm-2"), (self.row(0.1, 2),))
+        baseline.receive_from_hall(SERVICE, HallName("h"), (self.row(0.3, 3),))
+        self.assertAlmostEqual(baseline.ratio(SERVICE, KIND, 0.4), 2.0)
+
+    def test_rows_of_hall_combine_its_vms(self):
+        baseline = BaselineTimes()
+        baseline.learn(SERVICE, KIND, 0.1)
+        baseline.receive(SERVICE, VmName("vm-2"), (self.row(0.2, 1),))
+        baseline.receive_from_hall(SERVICE, HallName("h"), (self.row(9.0, 9),))
+        (row,) = baseline.rows_of_hall(SERVICE)
         self.assertEqual((round(row.seconds, 6), row.seen), (0.15, 2))
-        self.assertEqual(usual.all_rows(SERVICE)[0].seen, 11)
+        self.assertEqual(baseline.all_rows(SERVICE)[0].seen, 11)
 
-    def test_what_one_tells_stands_for_what_it_told_before(self):
-        usual = BaselineTimes()
+    def test_a_later_report_replaces_an_earlier_one(self):
+        baseline = BaselineTimes()
         for seconds in (0.1, 0.4):
-            usual.receive(SERVICE, VmName("vm-2"), (self.row(seconds, 5),))
-        self.assertAlmostEqual(usual.ratio(SERVICE, KIND, 0.4), 1.0)
+            baseline.receive(SERVICE, VmName("vm-2"), (self.row(seconds, 5),))
+        self.assertAlmostEqual(baseline.ratio(SERVICE, KIND, 0.4), 1.0)
--- a/tests/coordination/trials/test_trialexchange.py
+++ b/tests/coordination/trials/test_trialexchange.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""When VMs tell each other of trials, and what they make of what they hear."""
+"""Tests of the updates on trials that VMs send, and of how they apply them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from walnutquay.coordination.process.context import Context, Timeline, new_incarnation
 from walnutquay.coordination.trials import exchange as trialexchange
-from walnutquay.coordination.trials.exchange import LAST_CALL_SECONDS, TrialExchange
+from walnutquay.coordination.trials.exchange import PRE_OPENING_SECONDS, TrialExchange
 from walnutquay.coordination.trials.task import DECISION_ANNOUNCEMENTS, TrialTask
 from walnutquay.coordination.trials.versions import VersionTrials
 from walnutquay.protocol.messages import (
@@ -45,30 +45,30 @@
 
 
 class FakePeers:
-    """Two other VMs: what they are told is kept, and they answer as set."""
+    """Two other VMs, which record updates and respond as set."""
 
     def __init__(self) -> None:
         self.size = 3
-        self.told: list[TrialReport] = []
-        self.answer: Message | Exception | None = None
+        self.sent: list[TrialReport] = []
+        self.response: Message | Exception | None = None
 
     def tell_all(self, body: TrialNews) -> None:
-        """:param body: what they are told."""
-        self.told.append(body.report)
+        """Record an update to all VMs."""
+        self.sent.append(body.report)
 
     def hall_of(self, vm: VmName) -> HallName | None:
-        """:returns: the data hall of each VM."""
+        """Return the data hall, which is the same for all VMs."""
         return HERE
 
     async def ask_any(self, body: Message) -> Message | None:
-        """:returns: the answer that is set."""
-        if isinstance(self.answer, Exception):
-            raise self.answer
-        return self.answer
+        """Return or raise the response that is set."""
+        if isinstance(self.response, Exception):
+            raise self.response
+        return self.response
 
 
 class ExchangeCase(unittest.IsolatedAsyncioTestCase):
-    """One trial that begins at second 0 and opens at second 1."""
+    """A trial that begins at second 0 and opens at second 1."""
 
     def setUp(self) -> None:
         self.now = 0.0
@@ -84,73 +84,77 @@
         trial.opens_at = 1.0
         self.task = TrialTask(trial, 0.0)
         self.tasks = {SERVICE: self.task}
-        self.usual = BaselineTimes()
+        self.baseline = BaselineTimes()
         self.exchange = TrialExchange(
-            context, self.peers, self.tasks, self.usual, self.unknown.append
+            context, self.peers, self.tasks, self.baseline, self.unknown.append
         )
 
-    def tick(self, at: float) -> int:
-        """:returns: how often the others have been told since the last tick."""
+    def count_sent(self, at: float) -> int:
+        """Return the number of updates that are sent at a time.
+
+        :param at: the time; monotonic seconds.
+        """
         self.now = at
-        self.peers.told.clear()
-        self.exchange.tell_if_due(self.task)
-        return len(self.peers.told)
+        self.peers.sent.clear()
+        self.exchange.announce_if_due(self.task)
+        return len(self.peers.sent)
 
-    def hear(self, report: TrialReport, incarnation: str = "inc") -> None:
-        """Hear from another VM."""
+    def receive(self, report: TrialReport, incarnation: str = "inc") -> None:
+        """Receive a report from another VM."""
         body = TrialNews(report)
         self.exchange.receive(Envelope("vm-2", incarnation, Stamp(1, 0), body))
 
 
-class TellingTest(ExchangeCase):
-    """What was decided is told at once, counts in their turn."""
+class AnnouncementTest(ExchangeCase):
+    """Decisions are sent at once, counts once a period."""
 
-    def test_nothing_to_tell(self):
-        self.assertEqual([self.tick(at) for at in (0.0, 1.0, 5.0)], [0, 0, 0])
+    def test_nothing_is_sent_without_changes(self):
+        self.assertEqual([self.count_sent(at) for at in (0.0, 1.0, 5.0)], [0, 0, 0])
 
-    def test_what_is_usual_is_told_once_without_counts(self):
-        self.usual.learn(SERVICE, "head/r/0", 0.1)
-        self.assertEqual([self.tick(at) for at in (0.0, 2.0, 4.0)], [1, 0, 0])
+    def test_the_baseline_is_sent_once_without_counts(self):
+        self.baseline.learn(SERVICE, "head/r/0", 0.1)
+        self.assertEqual([self.count_sent(at) for at in (0.0, 2.0, 4.0)], [1, 0, 0])
 
-    def test_decided_before_the_new_version_gets_sessions(self):
-        self.task.decided()
-        opens = 1.0 - LAST_CALL_SECONDS
-        found = [self.tick(at) for at in (0.1, opens + 0.01, 1.0, 1.25)]
+    def test_a_decision_before_the_opening(self):
+        self.task.schedule_announcements()
+        opens = 1.0 - PRE_OPENING_SECONDS
+        found = [self.count_sent(at) for at in (0.1, opens + 0.01, 1.0, 1.25)]
         self.assertEqual(found, [0, 1, 1, 0])
 
-    def test_decided_later(self):
+    def test_a_later_decision_is_sent_at_once(self):
         self.now = 10.0
-        self.task.decided()
-        found = [self.tick(10.0 + 0.25 * number) for number in range(4)]
+        self.task.schedule_announcements()
+        found = [self.count_sent(10.0 + 0.25 * number) for number in range(4)]
         self.assertEqual(
             found, [1] * DECISION_ANNOUNCEMENTS + [0] * (4 - DECISION_ANNOUNCEMENTS)
         )
 
-    def test_counts_wait_for_their_turn(self):
-        self.tick(10.0)
+    def test_counts_wait_for_the_next_period(self):
+        self.count_sent(10.0)
         self.task.trial.own.add(SUBJECT, False, EndpointName("i-1"))
-        self.assertEqual([self.tick(at) for at in (10.5, 12.0, 14.0)], [0, 1, 0])
+        self.assertEqual([self.count_sent(at) for at in (10.5, 12.0, 14.0)], [0, 1, 0])
 
 
-class HearingTest(ExchangeCase):
-    """What others tell is taken over, or makes this VM read its orders."""
+class ReceivingTest(ExchangeCase):
+    """Reports are applied, or passed on if their order is not known."""
 
-    def test_what_a_vm_has_seen_outlasts_its_process(self):
-        # A VM that starts again counts from nothing, and would take its counts back.
+    def test_counts_of_an_earlier_process_are_kept(self):
+        # A VM that restarts begins to count at zero.  Its new counts must not replace
+        # those of its earlier process.
         for incarnation, good in (("first", 2), ("first", 3), ("second", 1)):
             counts = ((SUBJECT, TrialCounts(good)),)
-            self.hear(TrialReport("order", V2, counts), incarnation)
+            self.receive(TrialReport("order", V2, counts), incarnation)
         total = self.task.trial.outcome_counts().total(Measure.FAILED)
         self.assertEqual(total.good, 4)
 
-    def test_an_order_that_is_not_known(self):
-        self.hear(TrialReport("another", V2, ()))
+    def test_an_unknown_order_is_reported(self):
+        self.receive(TrialReport("another", V2, ()))
         self.assertEqual([report.order for report in self.unknown], ["another"])
 
-    def test_a_bad_version(self):
-        self.hear(TrialReport("order", V2, (), verdict=Verdict.BAD))
+    def test_a_bad_verdict_is_adopted(self):
+        self.receive(TrialReport("order", V2, (), verdict=Verdict.BAD))
         self.assertTrue(self.task.trial.rejected)
-        # The VM that found it writes it first.
+        # The VM that found the version bad writes the status first.
         self.assertGreater(self.task.write_at, self.now)
         self.assertFalse(self.task.found_bad)
         rejected = [
@@ -159,59 +163,59 @@
         self.assertEqual([dict(e.facts)["told_by"] for e in rejected], ["vm-2"])
 
 
-class AskingTest(ExchangeCase):
-    """A VM that learns late asks the others, and is asked itself."""
+class CatchUpTest(ExchangeCase):
+    """A VM that learns of a trial late requests its state from the others."""
 
     def setUp(self) -> None:
         super().setUp()
-        self.task.asking = True
+        self.task.catching_up = True
 
-    async def test_answered(self):
+    async def test_a_response_is_adopted(self):
         report = TrialReport("order", V2, (), (7,), Verdict.UNSURE, 20.0, 0.0)
-        self.peers.answer = TrialNews(report)
+        self.peers.response = TrialNews(report)
         self.now = 30.0
         await self.exchange.catch_up(self.task)
         trial = self.task.trial
         self.assertEqual((trial.open, trial.kept.all()), (True, (7,)))
-        self.assertFalse(self.task.asking)
+        self.assertFalse(self.task.catching_up)
 
-    async def test_not_answered(self):
-        # By what stands in the store it opens at second 1.
+    async def test_without_a_response_the_order_decides(self):
+        # By the order in the store the trial opens at second 1.
         for at, is_open in ((0.5, False), (1.0, True)):
             with self.subTest(at=at):
                 self.now = at
-                self.task.asking = True
+                self.task.catching_up = True
                 await self.exchange.catch_up(self.task)
-                found = (self.task.trial.open, self.task.asking)
+                found = (self.task.trial.open, self.task.catching_up)
                 self.assertEqual(found, (is_open, False))
 
-    async def test_an_error_holds_nobody_up(self):
+    async def test_an_error_ends_the_catching_up(self):
         self.now = 5.0
-        self.peers.answer = RuntimeError("not foreseen")
+        self.peers.response = RuntimeError("not foreseen")
         with self.assertRaises(RuntimeError):
             await self.exchange.catch_up(self.task)
-        self.assertEqual((self.task.trial.open, self.task.asking), (True, False))
-
-    def test_asked(self):
-        question = AskTrial("order", V2)
-        envelope = Envelope("vm-2", "inc", Stamp(1, 0), question)
-        for asking, kind in ((True, Failure), (False, TrialNews)):
-            with self.subTest(asking=asking):
-                self.task.asking = asking
+        self.assertEqual((self.task.trial.open, self.task.catching_up), (True, False))
+
+    def test_a_request_is_answered_unless_catching_up(self):
+        request = AskTrial("order", V2)
+        envelope = Envelope("vm-2", "inc", Stamp(1, 0), request)
+        for catching_up, kind in ((True, Failure), (False, TrialNews)):
+            with self.subTest(catching_up=catching_up):
+                self.task.catching_up = catching_up
                 self.assertIsInstance(self.exchange.answer(envelope), kind)
 
-    def test_asked_for_another_trial(self):
-        self.task.asking = False
-        for question in (AskTrial("order", "v3"), AskTrial("another", V2)):
-            with self.subTest(question=question):
-                envelope = Envelope("vm-2", "inc", Stamp(1, 0), question)
+    def test_a_request_for_another_trial_fails(self):
+        self.task.catching_up = False
+        for request in (AskTrial("order", "v3"), AskTrial("another", V2)):
+            with self.subTest(request=request):
+                envelope = Envelope("vm-2", "inc", Stamp(1, 0), request)
                 self.assertIsInstance(self.exchange.answer(envelope), Failure)
 
 
 class UnknownOrderTest(unittest.TestCase):
-    """News of an unknown order make a VM read its orders, once for each."""
+    """An update on an unknown order makes a VM read the orders, once for each order."""
 
-    def test_once(self):
+    def test_orders_are_read_once_for_each_unknown_order(self):
         follower = mock.Mock()
         orders = SimpleNamespace(listeners=[], orders={"order": ORDER})
         knowledge = SimpleNamespace(
@@ -231,116 +235,125 @@
 
 
 class HallPeers(FakePeers):
-    """A fleet of 195 VMs in several data halls; notes who is told what."""
+    """A fleet of 195 VMs in several data halls, which records where updates go."""
 
     def __init__(self) -> None:
         super().__init__()
         self.size = 195
         self.relay = False
-        self.to: list[tuple[str, TrialNews]] = []
+        self.destinations: list[tuple[str, TrialNews]] = []
 
     def tell_hall(self, hall: HallName, body: TrialNews) -> None:
-        """:param hall: the data hall that is told."""
-        self.to.append((hall, body))
+        """Record an update to a data hall."""
+        self.destinations.append((hall, body))
 
     def tell_other_halls(self, body: TrialNews) -> None:
-        """:param body: what all VMs of the other halls are told."""
-        self.to.append(("others", body))
+        """Record an update to all VMs of the other halls."""
+        self.destinations.append(("others", body))
 
     def tell_relays(self, body: TrialNews) -> None:
-        """:param body: what the relays of the other halls are told."""
-        self.to.append(("relays", body))
+        """Record an update to the relays of the other halls."""
+        self.destinations.append(("relays", body))
 
     def is_relay(self) -> bool:
-        """:returns: whether this VM is one."""
+        """Return whether this VM is a relay."""
         return self.relay
 
     def hall_of(self, vm: VmName) -> HallName | None:
-        """:returns: the data hall of a VM, which begins its name."""
+        """Return the data hall of a VM, which is the first part of its name."""
         hall = HallName(vm.rpartition("-")[0])
         return hall if hall in (HERE, THERE) else None
 
 
-class UsualTest(ExchangeCase):
-    """A VM that knows little of the old version knows what the others do."""
+class BaselineTest(ExchangeCase):
+    """A VM that has measured few baseline times uses those of the others."""
 
     KIND = "head/r/0"
 
-    def test_what_another_vm_tells(self):
+    def test_rows_of_another_vm_are_used(self):
         row = BaselineTime(kind_hash(self.KIND), 0.1, MIN_SEEN)
-        self.hear(TrialReport("order", V2, (), usual=(row,)))
-        self.assertAlmostEqual(self.usual.ratio(SERVICE, self.KIND, 0.3), 3.0)
+        self.receive(TrialReport("order", V2, (), usual=(row,)))
+        self.assertAlmostEqual(self.baseline.ratio(SERVICE, self.KIND, 0.3), 3.0)
 
-    def test_one_that_starts_is_told_all(self):
+    def test_a_response_contains_all_rows(self):
         row = BaselineTime(kind_hash(self.KIND), 0.1, MIN_SEEN)
-        self.hear(TrialReport("order", V2, (), usual=(row,)))
-        question = AskTrial(ORDER.name, V2)
-        answer = self.exchange.answer(Envelope("vm-3", "inc", Stamp(1, 0), question))
+        self.receive(TrialReport("order", V2, (), usual=(row,)))
+        request = AskTrial(ORDER.name, V2)
+        answer = self.exchange.answer(Envelope("vm-3", "inc", Stamp(1, 0), request))
         self.assertEqual(answer.report.usual, (row,))
 
 
-class HallsTest(ExchangeCase):
-    """In a large fleet counts go from hall to hall, and no answer counts twice."""
+class RelayTest(ExchangeCase):
+    """In a large fleet relays send counts between halls, and no answer counts twice."""
 
     def setUp(self) -> None:
         super().setUp()
         self.peers = self.exchange.peers = HallPeers()
 
-    def seen(self, bad: int) -> TrialReport:
-        """:returns: what some VMs have seen."""
+    def make_report(self, bad: int) -> TrialReport:
+        """Return a report with bad answers and one kept session."""
         counts = ((SUBJECT, TrialCounts(0, bad)),)
         return TrialReport(ORDER.name, V2, counts, (7,))
 
     def bad(self) -> int:
-        """:returns: all bad answers that are known here."""
+        """Return the number of bad answers that this VM knows of."""
         return self.task.trial.outcome_counts().total(Measure.FAILED).bad
 
-    def take(self, vm: str, news: TrialNews) -> None:
-        """Hear from a VM."""
-        self.exchange.receive(Envelope(vm, "incarnation", Stamp(1, 0), news))
+    def receive_from(self, vm: str, update: TrialNews) -> None:
+        """Receive an update from a VM."""
+        self.exchange.receive(Envelope(vm, "incarnation", Stamp(1, 0), update))
 
-    def test_a_vm_tells_its_counts_in_its_hall_only(self):
+    def test_counts_are_sent_within_the_hall_only(self):
         self.task.trial.own.add(SUBJECT, True, "i-1")
-        self.exchange.tell_if_due(self.task)
-        self.assertEqual([to for to, _ in self.peers.to], [HERE])
+        self.exchange.announce_if_due(self.task)
+        self.assertEqual(
+            [destination for destination, _ in self.peers.destinations], [HERE]
+        )
 
-    def test_what_is_decided_goes_to_all_without_counts(self):
+    def test_decisions_are_sent_to_all_without_counts(self):
         self.task.trial.own.add(SUBJECT, True, "i-1")
-        self.task.decided()
-        self.exchange.tell(self.task)
-        (here, near), (others, far) = self.peers.to
+        self.task.schedule_announcements()
+        self.exchange.announce(self.task)
+        (here, near), (others, far) = self.peers.destinations
         self.assertEqual((here, others), (HERE, "others"))
         self.assertEqual((bool(near.report.counts), far.report.counts), (True, ()))
 
-    def test_a_relay_tells_what_its_hall_has_seen(self):
+    def test_a_relay_sends_its_halls_counts(self):
         self.peers.relay = True
-        self.take(f"{HERE}-2", TrialNews(self.seen(3)))
-        self.take(f"{THERE}-1", TrialNews(self.seen(5), THERE))
+        self.receive_from(f"{HERE}-2", TrialNews(self.make_report(3)))
+        self.receive_from(f"{THERE}-1", TrialNews(self.make_report(5), THERE))
         self.task.trial.own.add(SUBJECT, True, "i-1")
-        self.peers.to.clear()
-        self.exchange.tell_if_due(self.task)
-        told = [news for to, news in self.peers.to if to == "relays"]
-        self.assertEqual([news.hall for news in told], [HERE])
-        counts = dict(told[0].report.counts)
-        # Not those of the other hall, which that tells itself.
+        self.peers.destinations.clear()
+        self.exchange.announce_if_due(self.task)
+        sent = [
+            update
+            for destination, update in self.peers.destinations
+            if destination == "relays"
+        ]
+        self.assertEqual([update.hall for update in sent], [HERE])
+        counts = dict(sent[0].report.counts)
+        # Without those of the other hall, which sends them itself.
         self.assertEqual(counts[SUBJECT].bad, 4)
 
     def test_each_answer_counts_once(self):
-        self.take(f"{HERE}-2", TrialNews(self.seen(3)))
-        self.take(f"{THERE}-1", TrialNews(self.seen(5), THERE))
-        # Its own news, by a decision; the other relay; and the one of this hall.
-        self.take(f"{THERE}-1", TrialNews(self.seen(2)))
-        self.take(f"{THERE}-2", TrialNews(self.seen(5), THERE))
-        self.take(f"{HERE}-2", TrialNews(self.seen(5), THERE))
+        self.receive_from(f"{HERE}-2", TrialNews(self.make_report(3)))
+        self.receive_from(f"{THERE}-1", TrialNews(self.make_report(5), THERE))
+        # The relay's own update with a decision; the same report by the other relay of
+        # that hall, and by the relay of this one.
+        self.receive_from(f"{THERE}-1", TrialNews(self.make_report(2)))
+        self.receive_from(f"{THERE}-2", TrialNews(self.make_report(5), THERE))
+        self.receive_from(f"{HERE}-2", TrialNews(self.make_report(5), THERE))
         self.assertEqual(self.bad(), 8)
         self.assertIsNotNone(self.task.trial.kept.since(7))
 
-    def test_news_of_another_hall_are_passed_on_once(self):
+    def test_updates_of_another_hall_are_forwarded_once(self):
         for vm in (f"{THERE}-1", f"{THERE}-2", f"{HERE}-2"):
-            self.take(vm, TrialNews(self.seen(5), THERE))
-        self.assertEqual([to for to, _ in self.peers.to], [HERE])
+            self.receive_from(vm, TrialNews(self.make_report(5), THERE))
+        self.assertEqual(
+            [destination for destination, _ in self.peers.destinations], [HERE]
+        )
 
-    def test_a_vm_that_is_not_known_adds_nothing_twice(self):
-        self.take("new-1", TrialNews(self.seen(2)))
+    def test_counts_of_an_unknown_vm_are_ignored(self):
+        self.receive_from("new-1", TrialNews(self.make_report(2)))
         self.assertEqual(self.bad(), 0)
         self.assertIsNotNone(self.task.trial.kept.since(7))
--- a/tests/coordination/trials/test_trialrecord.py
+++ b/tests/coordination/trials/test_trialrecord.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What is kept of a version on trial for VMs that start when all are lost."""
+"""Tests of the stored record of a trial, for VMs that start after all were lost."""
 
 from __future__ import annotations
 
@@ -39,20 +39,20 @@
 
 
 class FakeValues:
-    """The values of the store."""
+    """The values of a store in memory."""
 
     def __init__(self) -> None:
         self.stored: dict[str, Stored] = {}
         self.calls = 0
-        self.away = False
+        self.unavailable = False
 
     async def read(self, name: str) -> Stored:
-        """As the real ones."""
+        """Read a value as :class:`ValueStore` does."""
         self._call()
         return self.stored.get(name, Stored(0))
 
     async def write(self, name: str, value: bytes, expected: int) -> int:
-        """As the real ones."""
+        """Write a value as :class:`ValueStore` does."""
         self._call()
         if self.stored.get(name, Stored(0)).version != expected:
             raise PlatformConflictError("changed", step="write", peer=name)
@@ -61,17 +61,17 @@
 
     def _call(self) -> None:
         self.calls += 1
-        if self.away:
-            raise PlatformUnavailableError("away", step="call", peer="store")
+        if self.unavailable:
+            raise PlatformUnavailableError("unavailable", step="call", peer="store")
 
 
-async def yes() -> bool:
-    """:returns: that a VM reads the store."""
+async def reads_store() -> bool:
+    """Return that a VM reads the store as it starts."""
     return True
 
 
 class RecordCase(unittest.IsolatedAsyncioTestCase):
-    """A trial with a record."""
+    """A trial with a record, and a simulated clock."""
 
     def setUp(self) -> None:
         self.now = 100.0
@@ -79,140 +79,141 @@
         patch.start()
         self.addCleanup(patch.stop)
         self.values = FakeValues()
-        self.keeps = True
+        self.is_writer = True
         self.trial = Trial(ORDER, 95.0, 0.15)
         self.task = TrialTask(self.trial, 0.0)
-        self.usual = BaselineTimes()
-        self.record = self.new_record(self.usual)
+        self.baseline = BaselineTimes()
+        self.record = self.new_record(self.baseline)
 
-    def new_record(self, usual: BaselineTimes) -> TrialRecord:
-        """:returns: the record as a VM knows it."""
-        keepers = SimpleNamespace(is_keeper=lambda key: self.keeps)
-        return TrialRecord(keepers, self.values, usual, yes)
+    def new_record(self, baseline: BaselineTimes) -> TrialRecord:
+        """Return a VM's record with the shared store."""
+        writer_selector = SimpleNamespace(is_keeper=lambda key: self.is_writer)
+        return TrialRecord(writer_selector, self.values, baseline, reads_store)
 
-    def see(self, bad: int) -> None:
-        """Let this VM see sluggish answers."""
+    def add_sluggish(self, bad: int) -> None:
+        """Add sluggish answers of the new version to this VM's counts."""
         for _ in range(bad):
             self.trial.own.add(SLUGGISH, True, EndpointName("new-1"))
 
-    async def keep(self) -> None:
-        """Let the record be written if it is to be."""
-        self.record.keep(self.task)
+    async def write_record(self) -> None:
+        """Write the record if it is due, and wait until it is written."""
+        self.record.write_if_due(self.task)
         await asyncio.gather(*self.record.tasks.running)
 
 
-class KeepingTest(RecordCase):
-    """One VM writes, while there is news."""
+class WritingTest(RecordCase):
+    """One VM writes the record whenever the counts have changed."""
 
-    async def test_it_is_written_where_there_is_news(self):
-        await self.keep()
+    async def test_it_is_written_when_it_has_changed(self):
+        await self.write_record()
         self.assertEqual(self.values.calls, 0)
-        self.see(3)
-        await self.keep()
-        await self.keep()
+        self.add_sluggish(3)
+        await self.write_record()
+        await self.write_record()
         self.now += WRITE_SECONDS
-        await self.keep()
+        await self.write_record()
         self.assertEqual(self.values.stored["trials/o"].version, 1)
-        self.see(1)
-        await self.keep()
+        self.add_sluggish(1)
+        await self.write_record()
         self.assertEqual(self.values.stored["trials/o"].version, 2)
 
     async def test_other_vms_write_nothing(self):
-        self.keeps = False
-        self.see(3)
-        await self.keep()
+        self.is_writer = False
+        self.add_sluggish(3)
+        await self.write_record()
         self.assertEqual(self.values.calls, 0)
 
-    async def test_one_that_takes_over_reads_its_version(self):
+    async def test_a_new_writer_reads_the_stored_version(self):
         self.values.stored["trials/o"] = Stored(7, b"{}")
         self.record.versions["o"] = 3
-        self.see(1)
-        await self.keep()
+        self.add_sluggish(1)
+        await self.write_record()
         self.assertEqual(self.values.stored["trials/o"].version, 7)
-        self.see(1)
+        self.add_sluggish(1)
         self.now += WRITE_SECONDS
-        await self.keep()
+        await self.write_record()
         self.assertEqual(self.values.stored["trials/o"].version, 8)
 
 
 class RecoveringTest(RecordCase):
-    """All VMs are lost; what they had seen is not."""
-
-    # A version that was slow in part got 219 of the 1,115 requests of its service, of
-    # which a bad one may get 197.  All VMs were lost twice within its trial, each time
-    # with the 9 or 10 answers that they had seen, and 5 of the next 6 were good.
-
-    async def recovered(self) -> Trial:
-        """:returns: the trial as a VM knows it that starts when all were lost."""
-        found = Trial(ORDER, 95.0, 0.15)
-        await self.new_record(BaselineTimes()).recover(found)
-        return found
-
-    async def test_what_was_seen_counts_with_what_is_seen(self):
-        self.see(7)
-        await self.keep()
-        found = await self.recovered()
-        self.assertIs(found.verdict(), Verdict.UNSURE)
+    """A VM that starts after all were lost recovers their counts and verdict."""
+
+    # A version with some slow answers got 219 of the 1,115 requests of its service, of
+    # which a bad one may get 197.  All VMs were lost twice during its trial, each time
+    # with the counts of 9 or 10 answers, and 5 of the next 6 answers were good.
+
+    async def recover(self) -> Trial:
+        """Return the trial on a VM that starts after all were lost."""
+        trial = Trial(ORDER, 95.0, 0.15)
+        await self.new_record(BaselineTimes()).recover(trial)
+        return trial
+
+    async def test_recovered_counts_add_to_later_ones(self):
+        self.add_sluggish(7)
+        await self.write_record()
+        recovered = await self.recover()
+        self.assertIs(recovered.verdict(), Verdict.UNSURE)
         for _ in range(5):
-            found.own.add(SLUGGISH, True, EndpointName("new-2"))
-        self.assertIs(found.verdict(), Verdict.BAD)
+            recovered.own.add(SLUGGISH, True, EndpointName("new-2"))
+        self.assertIs(recovered.verdict(), Verdict.BAD)
 
-    async def test_what_was_decided_holds(self):
+    async def test_a_rejection_is_recovered(self):
         self.trial.rejected = True
-        self.see(1)
-        await self.keep()
-        self.assertTrue((await self.recovered()).rejected)
+        self.add_sluggish(1)
+        await self.write_record()
+        self.assertTrue((await self.recover()).rejected)
 
-    async def test_a_version_that_was_trusted_keeps_its_sessions(self):
+    async def test_trust_is_recovered(self):
         self.now = 95.0 + SECONDS * RAMP_START + 0.1
         self.trial.trusted = True
-        self.see(1)
-        await self.keep()
-        self.assertTrue((await self.recovered()).trusted)
+        self.add_sluggish(1)
+        await self.write_record()
+        self.assertTrue((await self.recover()).trusted)
 
-    async def test_what_is_usual(self):
+    async def test_the_baseline_is_recovered(self):
         for _ in range(5):
-            self.usual.learn(SERVICE, KIND, 0.1)
-        self.see(1)
-        await self.keep()
-        usual = BaselineTimes()
-        await self.new_record(usual).recover(Trial(ORDER, 95.0, 0.15))
-        self.assertAlmostEqual(usual.ratio(SERVICE, KIND, 0.3), 3.0)
-
-    async def test_it_is_not_told_as_this_halls(self):
-        self.see(4)
-        await self.keep()
-        found = await self.recovered()
-        self.assertEqual(found.report_of_hall(self.now).counts, ())
-
-    async def test_what_cannot_be_read_is_left_out(self):
+            self.baseline.learn(SERVICE, KIND, 0.1)
+        self.add_sluggish(1)
+        await self.write_record()
+        baseline = BaselineTimes()
+        await self.new_record(baseline).recover(Trial(ORDER, 95.0, 0.15))
+        self.assertAlmostEqual(baseline.ratio(SERVICE, KIND, 0.3), 3.0)
+
+    async def test_recovered_counts_are_not_reported_for_this_hall(self):
+        self.add_sluggish(4)
+        await self.write_record()
+        recovered = await self.recover()
+        self.assertEqual(recovered.report_of_hall(self.now).counts, ())
+
+    async def test_an_invalid_record_is_ignored(self):
         report = self.trial.report_of_all(self.now)
-        of_another = TrialReport("o", VersionName("v3"), report.counts)
+        of_other_version = TrialReport("o", VersionName("v3"), report.counts)
         for data in (
             b"[]",
             b"{}",
             b'{"version":"v2","verdict":"fine","counts":[],"usual":[]}',
             b'{"version":"v2","verdict":"bad","counts":[{}],"usual":[]}',
-            encode(of_another, ()),
+            encode(of_other_version, ()),
         ):
             with self.subTest(data=data):
                 self.values.stored["trials/o"] = Stored(1, data)
-                found = await self.recovered()
-                self.assertFalse(found.rejected)
-                self.assertEqual(found.received, {})
+                recovered = await self.recover()
+                self.assertFalse(recovered.rejected)
+                self.assertEqual(recovered.received, {})
 
-    async def test_a_store_that_is_away(self):
-        self.values.away = True
-        self.assertIs((await self.recovered()).verdict(), Verdict.UNSURE)
+    async def test_an_unavailable_store(self):
+        self.values.unavailable = True
+        self.assertIs((await self.recover()).verdict(), Verdict.UNSURE)
 
 
-class AskingTest(RecordCase):
-    """The store is read only where no VM that lives has seen anything."""
+class CatchUpTest(RecordCase):
+    """The store is read only if no running VM has seen answers of the version."""
 
     async def catch_up(self, seen: int) -> int:
-        """Start a VM while others have seen some answers.
+        """Catch up with other VMs.
 
-        :returns: calls of the store.
+        :param seen: the number of answers that they have seen.
+        :returns: the number of calls to the store.
         """
         context = Context(
             VmName("vm-1"),
@@ -220,21 +221,21 @@
             new_incarnation(),
             Timeline(VmName("vm-1"), 10),
         )
-        told = TrialNews(TrialReport("o", VersionName("v2"), (), seen=seen))
+        response = TrialNews(TrialReport("o", VersionName("v2"), (), seen=seen))
 
         async def ask_any(body):
-            return told
+            return response
 
         peers = SimpleNamespace(ask_any=ask_any, size=3)
-        exchange = TrialExchange(context, peers, {}, self.usual, lambda report: None)
+        exchange = TrialExchange(context, peers, {}, self.baseline, lambda report: None)
         exchange.record = self.record
-        self.task.asking = True
+        self.task.catching_up = True
         await exchange.catch_up(self.task)
-        self.assertFalse(self.task.asking)
+        self.assertFalse(self.task.catching_up)
         return self.values.calls
 
-    async def test_others_have_seen_some(self):
+    async def test_the_store_is_not_read_if_others_have_seen_answers(self):
         self.assertEqual(await self.catch_up(seen=4), 0)
 
-    async def test_nobody_has(self):
+    async def test_the_store_is_read_if_nobody_has_seen_answers(self):
         self.assertEqual(await self.catch_up(seen=0), 1)
--- a/tests/coordination/trials/test_versions.py
+++ b/tests/coordination/trials/test_versions.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Who gets a version on trial, and what counts as a slow answer of it."""
+"""Tests of the choice of versions, and of which answers count as slow."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 from walnutquay.state.trials.trial import Trial
 from walnutquay.transport.timers import monotonic
 
-USUAL = 0.1
-# seconds of an answer's head, seconds between its first events -> whether it counts as
-# slow, and as sluggish
+BASELINE = 0.1
+# Seconds until an answer's head, seconds between its first events, whether it counts as
+# slow, and whether it counts as sluggish.
 ANSWERS = [
-    (USUAL, 0.01, False, False),
-    (2 * USUAL, 0.01, False, True),
-    (6 * USUAL, 0.01, True, True),
-    (USUAL, 0.05, True, False),
+    (BASELINE, 0.01, False, False),
+    (2 * BASELINE, 0.01, False, True),
+    (6 * BASELINE, 0.01, True, True),
+    (BASELINE, 0.05, True, False),
 ]
 
 
@@ -45,7 +45,7 @@
 
 
 def grant(version: str, name: str = "i-1") -> SimpleNamespace:
-    """:returns: a place at an endpoint that runs a version."""
+    """Return a slot at an endpoint that runs a version."""
     endpoint = Instance(
         EndpointName(name),
         ServiceName("s"),
@@ -58,7 +58,7 @@
 
 
 def turn() -> SimpleNamespace:
-    """:returns: a request."""
+    """Return a request."""
     route = SimpleNamespace(name="r")
     arrival = SimpleNamespace(route=route, request="r1")
     return SimpleNamespace(
@@ -66,57 +66,57 @@
     )
 
 
-class SlowTest(unittest.TestCase):
-    """Answers are compared with the old version's."""
+class SlownessTest(unittest.TestCase):
+    """Answer times are compared with the old version's."""
 
-    def trials(self) -> VersionTrials:
-        """:returns: a trial that knows what is usual."""
+    def make_trials(self) -> VersionTrials:
+        """Return a trial with measured baseline times."""
         knowledge = SimpleNamespace(orders=SimpleNamespace(listeners=[]), conditions=[])
-        found = VersionTrials(None, knowledge, None, None, PromisesSection())
+        trials = VersionTrials(None, knowledge, None, None, PromisesSection())
         task = SimpleNamespace(trial=Trial(ORDER, 0.0, 0.15))
-        found.tasks[ServiceName("s")] = task
+        trials.tasks[ServiceName("s")] = task
         for _ in range(20):
-            found.answer_began(turn(), grant("v1"), USUAL)
-            found.paced(turn(), grant("v1"), USUAL, 0.01)
-        return found
+            trials.answer_began(turn(), grant("v1"), BASELINE)
+            trials.paced(turn(), grant("v1"), BASELINE, 0.01)
+        return trials
 
-    def test_table(self):
+    def test_slowness(self):
         for seconds, pause, slow, sluggish in ANSWERS:
             with self.subTest(seconds=seconds, pause=pause):
-                found = self.trials()
-                found.answer_began(turn(), grant("v2"), seconds)
-                found.paced(turn(), grant("v2"), seconds, pause)
-                own = found.tasks[ServiceName("s")].trial.own
+                trials = self.make_trials()
+                trials.answer_began(turn(), grant("v2"), seconds)
+                trials.paced(turn(), grant("v2"), seconds, pause)
+                own = trials.tasks[ServiceName("s")].trial.own
                 self.assertEqual(own.total(Measure.SLOW).bad, int(slow))
                 self.assertEqual(own.total(Measure.SLUGGISH).bad, int(sluggish))
 
 
-class WaitingTest(unittest.IsolatedAsyncioTestCase):
-    """Answers that do not begin are looked for as trials are."""
+class OverdueTest(unittest.IsolatedAsyncioTestCase):
+    """Requests whose answers have not begun are checked with each evaluation."""
 
-    async def test_one_that_waits_counts(self):
+    async def test_a_waiting_request_counts(self):
         orders = SimpleNamespace(listeners=[])
         knowledge = SimpleNamespace(orders=orders, conditions=[])
-        found = VersionTrials(None, knowledge, None, None, PromisesSection())
+        trials = VersionTrials(None, knowledge, None, None, PromisesSection())
         trial = Trial(ORDER, 0.0, 0.15)
-        found._decide = mock.AsyncMock()
-        found.tasks[ServiceName("s")] = SimpleNamespace(trial=trial)
+        trials._decide = mock.AsyncMock()
+        trials.tasks[ServiceName("s")] = SimpleNamespace(trial=trial)
         for _ in range(20):
-            found.answer_began(turn(), grant("v1"), USUAL)
+            trials.answer_began(turn(), grant("v1"), BASELINE)
         now = 100.0
         with mock.patch.object(evaluation, "monotonic", lambda: now):
-            found.evaluator.sent(turn(), grant("v2"))
-            now += 2 * USUAL
+            trials.evaluator.sent(turn(), grant("v2"))
+            now += 2 * BASELINE
             other = turn()
             other.arrival.request = "r2"
-            found.answer_began(other, grant("v2"), USUAL)
-            await found.decide()
+            trials.answer_began(other, grant("v2"), BASELINE)
+            await trials.decide()
         total = trial.own.total(Measure.SLUGGISH)
         self.assertEqual((total.good, total.bad), (1, 1))
 
 
-class ChoiceTest(unittest.TestCase):
-    """A choice tells what decided it."""
+class VersionChoiceTest(unittest.TestCase):
+    """A choice contains the reason for it."""
 
     def setUp(self):
         self.book = InstanceBook(2.0)
@@ -127,8 +127,8 @@
         knowledge = SimpleNamespace(orders=orders, instances=instances, conditions=[])
         timeline = SimpleNamespace(emit=lambda *args, **facts: None)
         self.context = SimpleNamespace(metrics=Metrics(), timeline=timeline)
-        self.told: list[Message] = []
-        peers = SimpleNamespace(size=3, tell_all=self.told.append)
+        self.sent: list[Message] = []
+        peers = SimpleNamespace(size=3, tell_all=self.sent.append)
         self.trials = VersionTrials(
             self.context, knowledge, None, peers, PromisesSection()
         )
@@ -137,19 +137,22 @@
         self.trials.tasks[ServiceName("s")] = TrialTask(self.trial, 0.0)
 
     def session(self, new: bool) -> str:
-        """:returns: a session that falls to the new version at first, or not."""
+        """Return a session by whether the first share assigns it to the new version."""
         share = self.trial.share(monotonic())
         names = (f"session-{number}" for number in range(1000))
         return next(
             name for name in names if is_assigned_to_new(name, "v2", share) is new
         )
 
-    def choose(self, **more: object) -> tuple[str, ChoiceReason]:
-        """:returns: the version and the reason for a request."""
-        wanted = turn()
-        for name, value in more.items():
-            setattr(wanted, name, value)
-        choice = self.trials.version_for(wanted)
+    def choose(self, **fields: object) -> tuple[str, ChoiceReason]:
+        """Return the version chosen for a request, and the reason.
+
+        :param fields: the fields of the request that differ from the default.
+        """
+        request_turn = turn()
+        for name, value in fields.items():
+            setattr(request_turn, name, value)
+        choice = self.trials.version_for(request_turn)
         assert choice is not None
         return choice.version, choice.reason
 
@@ -158,36 +161,36 @@
         self.assertIsNone(self.trials.version_for(turn()))
 
     def test_share(self):
-        found = self.choose(session=self.session(new=True))
-        self.assertEqual(found, ("v2", ChoiceReason.SHARE))
-        found = self.choose(session=self.session(new=False))
-        self.assertEqual(found, ("", ChoiceReason.SHARE))
+        choice = self.choose(session=self.session(new=True))
+        self.assertEqual(choice, ("v2", ChoiceReason.SHARE))
+        choice = self.choose(session=self.session(new=False))
+        self.assertEqual(choice, ("", ChoiceReason.SHARE))
 
     def test_session_seen_here(self):
-        for version, falls_to_it, expected in (
+        for version, is_assigned, expected in (
             ("v1", False, ("", ChoiceReason.SESSION_ON_OLD)),
             ("v1", True, ("", ChoiceReason.KEPT)),
             ("v2", False, ("v2", ChoiceReason.SESSION_ON_NEW)),
         ):
-            with self.subTest(version=version, falls_to_it=falls_to_it):
-                seen = turn()
-                seen.session = self.session(falls_to_it)
-                self.trials.began(seen, grant(version))
-                self.trials.left(seen, grant(version))
-                self.assertEqual(self.choose(session=seen.session), expected)
+            with self.subTest(version=version, is_assigned=is_assigned):
+                earlier = turn()
+                earlier.session = self.session(is_assigned)
+                self.trials.began(earlier, grant(version))
+                self.trials.left(earlier, grant(version))
+                self.assertEqual(self.choose(session=earlier.session), expected)
 
     def test_session_seen_here_on_the_new_version(self):
-        seen = turn()
-        seen.session = self.session(new=True)
-        self.trials.began(seen, grant("v2"))
+        earlier = turn()
+        earlier.session = self.session(new=True)
+        self.trials.began(earlier, grant("v2"))
         expected = ("v2", ChoiceReason.SESSION_ON_NEW)
-        self.assertEqual(self.choose(session=seen.session), expected)
+        self.assertEqual(self.choose(session=earlier.session), expected)
 
     def test_not_open_yet(self):
         self.trial.open = False
         self.trial.opens_at = monotonic() + 60.0
-        found = self.choose(session=self.session(new=True))
-        self.assertEqual(found, ("", ChoiceReason.NOT_OPEN))
+        choice = self.choose(session=self.session(new=True))
+        self.assertEqual(choice, ("", ChoiceReason.NOT_OPEN))
 
     def test_kept_by_another_vm(self):
         name = self.session(new=True)
@@ -205,6 +208,6 @@
         self.book.remove("i-v2", 0.0)
         self.assertEqual(self.choose(), ("", ChoiceReason.NONE_RUNS))
 
-    def test_counted(self):
+    def test_choices_are_counted(self):
         self.choose(avoid_new=True)
         self.assertEqual(self.context.metrics.counters["trial_choices_failed_there"], 1)
--- a/walnutquay/coordination/trials/__init__.py
+++ b/walnutquay/coordination/trials/__init__.py
@@ -1,7 +1,7 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Versions on trial: who gets them, how they are judged, and what VMs tell of them.
+"""Trials of new versions: session assignment, evaluation and agreement between VMs.
 
-It owns the trials; it hears orders and other VMs' counts, and tells both the store and
-the VMs what was found.
+This package owns the trials.  It receives roll-out orders and the counts of other VMs,
+and sends results to the store and to the VMs.
 """
--- a/walnutquay/coordination/trials/answers.py
+++ b/walnutquay/coordination/trials/answers.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Answers operators' roll-out orders in the store."""
+"""Writes the status of operators' roll-out orders to the store."""
 
 from __future__ import annotations
 
@@ -21,22 +21,28 @@
 
 
 class OrderStore(Protocol):
-    """Reads and answers roll-out orders."""
+    """Reads roll-out orders and writes their status."""
 
     async def read(self, name: str) -> RolloutOrder | None:
-        """:param name: an order's name."""
+        """Read an order.
+
+        :param name: the order's name.
+        :returns: the order; None if there is none.
+        """
 
     async def answer(self, order: RolloutOrder, state: OrderState) -> RolloutOrder:
-        """:param order: an order as it was read.
+        """Write the status of an order.
 
-        :param state: what to say of it.
+        :param order: the order as it was read.
+        :param state: the state to write.
+        :returns: the order as it is stored now.
         """
 
 
-class OrderAnswers:
-    """Writes where trials stand, and takes in what the store has of them then.
+class OrderStatusWriter:
+    """Writes the status of trials, and applies the orders that the store returns.
 
-    :param order_store: where orders are answered.
+    :param order_store: the store of the orders.
     :param orders: the orders that this VM knows.
     """
 
@@ -45,31 +51,31 @@
         self.orders = orders
 
     async def write(self, trial: Trial, state: OrderState) -> None:
-        """Say where a trial stands.
+        """Write the status of a trial.
 
         :param trial: the trial.
-        :param state: where it stands.
-        :raises PlatformConflictError: if its order has changed meanwhile.
-        :raises PlatformError: if the store does not answer.
+        :param state: its state.
+        :raises PlatformConflictError: if the order has changed in the meantime.
+        :raises PlatformError: if the store does not respond.
         """
         started = unix_seconds() - (monotonic() - trial.started)
-        wanted = replace(trial.order, state=state, started=started)
-        self.orders.take(await self.order_store.answer(wanted, state))
+        updated = replace(trial.order, state=state, started=started)
+        self.orders.take(await self.order_store.answer(updated, state))
 
-    async def read_again(self, order: RolloutOrder) -> None:
-        """Take in an order as it stands now.
+    async def reread(self, order: RolloutOrder) -> None:
+        """Read an order again, and apply its current version.
 
-        :param order: the order as it is known here.
+        :param order: the order as this VM knows it.
         """
         try:
-            present = await self.order_store.read(order.name)
+            current = await self.order_store.read(order.name)
         except PlatformError as error:
-            log.warn("order {} could not be read again: {}", order.name, error)
+            log.warn("could not read order {} again: {}", order.name, error)
             return
-        if present is not None:
-            self.orders.take(present)
+        if current is not None:
+            self.orders.take(current)
 
 
 def unix_seconds() -> float:
-    """:returns: the time of day, which may differ between VMs; seconds."""
+    """Return the time of day in seconds, which may differ between VMs."""
     return unix_microseconds() / MICROSECONDS
--- a/walnutquay/coordination/trials/evaluation.py
+++ b/walnutquay/coordination/trials/evaluation.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Judges the answers of a version on trial beside those of the old one."""
+"""Evaluates the answers of a version on trial against those of the old version."""
 
 from __future__ import annotations
 
@@ -17,44 +17,46 @@
 from walnutquay.state.trials.trial import Trial
 from walnutquay.transport.timers import monotonic
 
-# An answer that takes so many times as long as the old version's is a bad one.
-# The platform's slow versions take eight times as long.
+# The multiple of the baseline time from which an answer counts as slow.  The platform's
+# slow versions take eight times as long as the old version.
 SLOW_FACTOR = 5.0
-# One that takes so many times as long is sluggish.
+# The multiple of the baseline time from which an answer counts as sluggish.
 SLUGGISH_FACTOR = 1.5
-# The same for the pauses between events, which vary less than the wait for the first.
+# The multiple of the baseline pause between events from which an answer counts as slow.
+# It is lower because pauses vary less than the wait for the first event.
 SLOW_PAUSE_FACTOR = 2.5
-# Endpoints of which it is kept when they last began an answer.
+# The most endpoints for which the time of the last answer is kept.
 MAX_ENDPOINTS = 1000
 
 
 @dataclass(slots=True)
-class Call:
-    """A request that an endpoint has while a version is on trial.
+class RunningRequest:
+    """A request in progress at an endpoint while a version is on trial.
 
     :param turn: the request.
-    :param grant: the endpoint.
-    :param since: when it was sent; monotonic seconds.
-    :param begun: whether its answer has begun.
-    :param overdue: what it was counted as bad by before its answer began.
+    :param grant: the endpoint's slot.
+    :param sent_at: when the request was sent; monotonic seconds.
+    :param answer_began: whether its answer has begun.
+    :param overdue: the measures by which it counted as bad before its answer began.
     """
 
     turn: RoutedTurn
     grant: Grant
-    since: float
-    begun: bool = False
+    sent_at: float
+    answer_began: bool = False
     overdue: set[Measure] = field(default_factory=set)
 
 
 class AnswerEvaluator:
     """Counts good and bad answers while a version is on trial.
 
-    Each answer counts as it begins, also one that is dropped for a larger model's; one
-    that does not begin counts as soon as it is late.  The slow answers of a version are
-    the ones that come last, or never: judged by those that have come it seems quick.
+    Each answer counts as it begins, even if it is then dropped for a larger model's.  A
+    request whose answer has not begun counts as soon as it is late: a version's slow
+    answers arrive last or never, so the version would seem fast if only the answers
+    that have arrived counted.
 
-    :param trial_of: gives the trial of a service, if there is one.
-    :param on_bad: told of a trial whose new version has given a bad answer.
+    :param trial_of: returns the trial of a service, if there is one.
+    :param on_bad: called with a trial whose new version has given a bad answer.
     """
 
     def __init__(
@@ -65,46 +67,49 @@
         self.trial_of = trial_of
         self.on_bad = on_bad
         self.baseline = BaselineTimes()
-        # What endpoints have now, of services whose version is on trial.
-        self.calls: dict[RequestId, Call] = {}
+        # The requests in progress for services with a version on trial.
+        self.running: dict[RequestId, RunningRequest] = {}
         # When each endpoint last began an answer; monotonic seconds.
-        self.last_begun: LatestTable[EndpointName, float] = LatestTable(
+        self.last_answer_began: LatestTable[EndpointName, float] = LatestTable(
             MAX_ENDPOINTS, float
         )
 
     # Requests.
 
     def sent(self, turn: RoutedTurn, grant: Grant) -> None:
-        """:param turn: a request that is sent now.
+        """Record that a request is sent.
 
-        :param grant: the endpoint.
+        :param turn: the request.
+        :param grant: the endpoint's slot.
         """
         if self.trial_of(turn.service) is not None:
-            call = Call(turn, grant, monotonic())
-            self.calls[turn.arrival.request] = call
+            running_request = RunningRequest(turn, grant, monotonic())
+            self.running[turn.arrival.request] = running_request
 
-    def begun(self, turn: RoutedTurn, grant: Grant, seconds: float) -> None:
-        """:param turn: a request whose answer begins.
+    def answer_began(self, turn: RoutedTurn, grant: Grant, seconds: float) -> None:
+        """Evaluate the time until an answer began.
 
-        :param grant: who answers.
-        :param seconds: since it was sent.
+        :param turn: the request.
+        :param grant: the slot of the endpoint that answers.
+        :param seconds: the time since the request was sent.
         """
-        self.last_begun.set(grant.name, monotonic())
-        call = self.calls.get(turn.arrival.request)
-        if call is not None:
-            call.begun = True
+        self.last_answer_began.set(grant.name, monotonic())
+        running_request = self.running.get(turn.arrival.request)
+        if running_request is not None:
+            running_request.answer_began = True
         ratio = self._ratio("head", turn, seconds)
-        if not self.on_trial(grant):
+        if not self.is_on_trial(grant):
             self.baseline.learn(turn.service, _kind("head", turn), seconds)
         if ratio is not None:
             sluggish = ratio > SLUGGISH_FACTOR
             self._count_once(turn, grant, Measure.SLUGGISH, sluggish)
 
     def succeeded(self, turn: RoutedTurn, grant: Grant, seconds: float) -> None:
-        """:param turn: a request that was answered, or a short stream.
+        """Count a request that was answered, or a short stream.
 
-        :param grant: who answered.
-        :param seconds: until the answer's head.
+        :param turn: the request.
+        :param grant: the slot of the endpoint that answered.
+        :param seconds: the time until the answer's head.
         """
         ratio = self._ratio("head", turn, seconds)
         if ratio is not None:
@@ -114,16 +119,16 @@
     def paced(
         self, turn: RoutedTurn, grant: Grant, seconds: float, pause: float
     ) -> None:
-        """Judge a stream by its first events: some versions are slow only then.
+        """Evaluate a stream by its first events, as some versions are slow only there.
 
         :param turn: the request.
-        :param grant: who answers.
-        :param seconds: until the answer's head.
+        :param grant: the slot of the endpoint that answers.
+        :param seconds: the time until the answer's head.
         :param pause: the mean time between its first events.
         """
         head = self._ratio("head", turn, seconds)
         paused = self._ratio("pause", turn, pause)
-        if not self.on_trial(grant):
+        if not self.is_on_trial(grant):
             self.baseline.learn(turn.service, _kind("pause", turn), pause)
         if head is not None or paused is not None:
             slow = (head or 0.0) > SLOW_FACTOR or (paused or 0.0) > SLOW_PAUSE_FACTOR
@@ -131,62 +136,77 @@
         self._count(turn, grant, Measure.FAILED, False)
 
     def failed(self, turn: RoutedTurn, grant: Grant) -> None:
-        """:param turn: a request whose endpoint answered that it failed.
+        """Count a request whose endpoint answered that it failed.
 
-        :param grant: the endpoint.
+        :param turn: the request.
+        :param grant: the endpoint's slot.
         """
         self._count(turn, grant, Measure.FAILED, True)
 
     def left(self, turn: RoutedTurn) -> None:
-        """:param turn: a request that an endpoint is done with, however it ended."""
-        self.calls.pop(turn.arrival.request, None)
+        """Remove a request that has ended at its endpoint, for whatever reason.
+
+        :param turn: the request.
+        """
+        self.running.pop(turn.arrival.request, None)
 
     def check_overdue(self) -> None:
-        """Count the requests whose answers should have begun."""
+        """Count the requests whose answers should have begun by now."""
         now = monotonic()
-        for call in list(self.calls.values()):
-            if not call.begun and self._answers_others(call):
-                self._count_overdue(call, now - call.since)
+        for running_request in list(self.running.values()):
+            if not running_request.answer_began and self._answers_other_requests(
+                running_request
+            ):
+                self._count_overdue(running_request, now - running_request.sent_at)
 
-    def _answers_others(self, call: Call) -> bool:
-        """Whether an endpoint goes on answering: one that is dark is ill by itself."""
-        return (self.last_begun.get(call.grant.name) or 0.0) > call.since
+    def _answers_other_requests(self, running_request: RunningRequest) -> bool:
+        """Return whether the endpoint has begun other answers since.
 
-    def _count_overdue(self, call: Call, seconds: float) -> None:
-        ratio = self._ratio("head", call.turn, seconds) or 0.0
+        An endpoint that answers nothing is faulty itself, which does not count against
+        its version.
+        """
+        return (
+            self.last_answer_began.get(running_request.grant.name) or 0.0
+        ) > running_request.sent_at
+
+    def _count_overdue(self, running_request: RunningRequest, seconds: float) -> None:
+        ratio = self._ratio("head", running_request.turn, seconds) or 0.0
         for measure, factor in (
             (Measure.SLUGGISH, SLUGGISH_FACTOR),
             (Measure.SLOW, SLOW_FACTOR),
         ):
-            if ratio > factor and measure not in call.overdue:
-                call.overdue.add(measure)
-                self._count(call.turn, call.grant, measure, True)
+            if ratio > factor and measure not in running_request.overdue:
+                running_request.overdue.add(measure)
+                self._count(running_request.turn, running_request.grant, measure, True)
 
     # Counts.
 
-    def on_trial(self, grant: Grant) -> bool:
-        """:param grant: an endpoint.
+    def is_on_trial(self, grant: Grant) -> bool:
+        """Return whether an endpoint runs a version that is on trial.
 
-        :returns: whether it runs a version that is on trial.
+        :param grant: the endpoint's slot.
         """
         endpoint = grant.endpoint
         assert isinstance(endpoint, Instance)
         trial = self.trial_of(endpoint.service)
         return trial is not None and trial.order.version == endpoint.version
 
-    def _ratio(self, measure: str, turn: RoutedTurn, seconds: float) -> float | None:
-        """Compare a time with what the old version usually takes.
+    def _ratio(self, phase: str, turn: RoutedTurn, seconds: float) -> float | None:
+        """Compare a time with the old version's baseline.
 
-        :returns: how many times as long it is; None where that is not known.
+        :param phase: the phase of the answer that took the time, "head" or "pause".
+        :param turn: the request.
+        :param seconds: the time.
+        :returns: the time divided by the baseline; None if there is no baseline.
         """
-        return self.baseline.ratio(turn.service, _kind(measure, turn), seconds)
+        return self.baseline.ratio(turn.service, _kind(phase, turn), seconds)
 
     def _count_once(
         self, turn: RoutedTurn, grant: Grant, measure: Measure, bad: bool
     ) -> None:
-        """Count an answer, unless it was counted before it began."""
-        call = self.calls.get(turn.arrival.request)
-        if call is None or measure not in call.overdue:
+        """Count an answer, unless it counted as overdue before it began."""
+        running_request = self.running.get(turn.arrival.request)
+        if running_request is None or measure not in running_request.overdue:
             self._count(turn, grant, measure, bad)
 
     def _count(
@@ -195,12 +215,12 @@
         trial = self.trial_of(turn.service)
         if trial is None:
             return
-        tally = trial.own if self.on_trial(grant) else trial.old
-        tally.add((measure, turn.arrival.route.name), bad, grant.name)
-        if bad and tally is trial.own:
+        outcome_counts = trial.own if self.is_on_trial(grant) else trial.old
+        outcome_counts.add((measure, turn.arrival.route.name), bad, grant.name)
+        if bad and outcome_counts is trial.own:
             self.on_bad(trial)
 
 
-def _kind(measure: str, turn: RoutedTurn) -> str:
-    """Give the kind of answer that a time is compared with."""
-    return f"{measure}/{turn.arrival.route.name}/{turn.model}"
+def _kind(phase: str, turn: RoutedTurn) -> str:
+    """Return the kind of answer whose baseline a time is compared with."""
+    return f"{phase}/{turn.arrival.route.name}/{turn.model}"
--- a/walnutquay/coordination/trials/exchange.py
+++ b/walnutquay/coordination/trials/exchange.py
@@ -1,11 +1,11 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What entry VMs tell each other of versions on trial.
+"""Updates and requests that entry VMs exchange about versions on trial.
 
-All VMs have to decide alike for a session, for its requests come to any of them.  What
-they decide by is either the same everywhere (the session's hash, the order in the
-store) or told: the sessions that stay on the old version, what was found of the new
-one, and since when the trial runs.
+All VMs have to choose the same version for a session, as its requests arrive at any of
+them.  The inputs of this choice are either the same everywhere (the session's hash, the
+order in the store) or announced: the sessions that stay on the old version, the outcome
+counts of the new one, and the time at which the trial began.
 """
 
 from __future__ import annotations
@@ -34,19 +34,21 @@
 from walnutquay.state.trials.trial import Trial
 from walnutquay.transport.timers import monotonic
 
-# How often VMs tell each other what they have seen.
-TELL_SECONDS = 2.0
-# The same while the new version gets more and more: a bad one is to be found soon.
-RAMP_TELL_SECONDS = 0.5
-# Up to so many VMs each tells all others what it has seen.  In larger fleets it tells
-# those of its data hall, and relays tell the other halls what all of them have seen:
-# else each of 195 VMs hears 194, and four of five of these bytes cross between halls.
-VMS_IN_ONE_ROUND = 30
-# How long the store is waited for, while callers wait: it answers within some ms.
-RECOVER_SECONDS = 0.4
-# Kept sessions are told as the trial begins, again so long before the new version gets
-# its first ones, and from then on at once.
-LAST_CALL_SECONDS = 0.3
+# How often a VM sends its outcome counts to the others.
+UPDATE_SECONDS = 2.0
+# The same while the new version's share grows, as a bad version has to be found soon.
+RAMP_UPDATE_SECONDS = 0.5
+# The largest fleet in which each VM sends its counts to all others.  In larger fleets
+# it sends them to the VMs of its data hall, and relays send the hall's combined counts
+# to the other halls.  Otherwise each of 195 VMs would receive updates from 194, and
+# four of five of these bytes would cross between halls.
+MAX_VMS_TO_BROADCAST = 30
+# The time to wait for the store while callers wait; it usually responds within a few
+# milliseconds.
+RECOVER_TIMEOUT_SECONDS = 0.4
+# Kept sessions are announced as the trial begins, again this long before the new
+# version gets its first sessions, and from then on at once.
+PRE_OPENING_SECONDS = 0.3
 
 
 class Peers(Protocol):
@@ -54,47 +56,58 @@
 
     @property
     def size(self) -> int:
-        """How many VMs there are, this one among them."""
+        """The number of entry VMs, including this one."""
 
     def tell_all(self, body: Message) -> None:
-        """:param body: a message to all of them; it may be lost."""
+        """Send a message to all VMs; it may be lost.
+
+        :param body: the message.
+        """
 
     def tell_hall(self, hall: HallName, body: Message) -> None:
-        """:param hall: a data hall.
+        """Send a message to all VMs of a data hall; it may be lost.
 
-        :param body: a message to its VMs; it may be lost.
+        :param hall: the data hall.
+        :param body: the message.
         """
 
     def tell_other_halls(self, body: Message) -> None:
-        """:param body: a message to all VMs of the other data halls; it may be lost."""
+        """Send a message to all VMs of the other data halls; it may be lost.
+
+        :param body: the message.
+        """
 
     def tell_relays(self, body: Message) -> None:
-        """:param body: a message to the relays of the other halls; it may be lost."""
+        """Send a message to the relays of the other data halls; it may be lost.
+
+        :param body: the message.
+        """
 
     def is_relay(self) -> bool:
-        """:returns: whether this VM passes news on between data halls."""
+        """Return whether this VM relays updates between data halls."""
 
     def hall_of(self, vm: VmName) -> HallName | None:
-        """:param vm: a VM.
+        """Return the data hall of a VM; None if it is not known.
 
-        :returns: its data hall, if it is known.
+        :param vm: the VM.
         """
 
     async def ask_any(self, body: Message) -> Message | None:
-        """:param body: a question to some of them at once.
+        """Send a request to several VMs at once.
 
-        :returns: the first answer, or None.
+        :param body: the request.
+        :returns: the first response; None if there is none.
         """
 
 
 class TrialExchange:
-    """Tells the other VMs of trials, hears them, and asks them.
+    """Sends and receives the state of trials, and requests it from other VMs.
 
-    :param context: what this process shares.
+    :param context: the objects shared by all parts of this process.
     :param peers: the other VMs.
     :param tasks: the trials, by service.
-    :param usual: how long answers of the old versions take.
-    :param on_unknown: called when others tell of a trial that is not known here.
+    :param baseline: the answer times of the old versions.
+    :param on_unknown: called with a report on a trial that this VM does not know.
     """
 
     def __init__(
@@ -102,85 +115,90 @@
         context: Context,
         peers: Peers,
         tasks: Mapping[ServiceName, TrialTask],
-        usual: BaselineTimes,
+        baseline: BaselineTimes,
         on_unknown: Callable[[TrialReport], None],
     ) -> None:
         self.context = context
         self.peers = peers
         self.tasks = tasks
-        self.baseline = usual
+        self.baseline = baseline
         self.on_unknown = on_unknown
-        # What VMs that are lost had seen, where it is kept.
+        # The stored state of VMs that were lost; None if it is not stored.
         self.record: TrialRecord | None = None
 
-    def tell_if_due(self, task: TrialTask) -> None:
-        """Tell the others of a trial, if it is time and there is news.
+    def announce_if_due(self, task: TrialTask) -> None:
+        """Send the state of a trial, if it is due and has changed.
 
         :param task: the trial.
         """
         now = monotonic()
         trial = task.trial
-        period = RAMP_TELL_SECONDS if trial.ramping(now) else TELL_SECONDS
-        due = now - task.told_at >= period
-        if task.tells > 0 and now >= trial.opens_at - LAST_CALL_SECONDS:
-            self.tell(task)
+        period = RAMP_UPDATE_SECONDS if trial.ramping(now) else UPDATE_SECONDS
+        due = now - task.announced_at >= period
+        if task.announcements_due > 0 and now >= trial.opens_at - PRE_OPENING_SECONDS:
+            self.announce(task)
         elif due:
-            # Also where there is no news: what comes next waits for its turn.
-            task.told_at = now
-            if trial.own.frozen() != task.told or self._has_usual_to_tell(task):
-                self.tell(task)
+            # Set even if nothing has changed, so that a later change waits for the next
+            # period.
+            task.announced_at = now
+            if (
+                trial.own.frozen() != task.announced_counts
+                or self._has_unannounced_baseline(task)
+            ):
+                self.announce(task)
         if now - task.relayed_at >= period:
             task.relayed_at = now
             self._relay(task, now)
 
-    def _has_usual_to_tell(self, task: TrialTask) -> bool:
-        """Whether this VM knows what is usual, and has never told it.
+    def _has_unannounced_baseline(self, task: TrialTask) -> bool:
+        """Return whether this VM has measured baseline times and never sent them.
 
-        Others that get answers of the new version may not know it.
+        VMs that get answers of the new version may not have measured any.
         """
         service = task.trial.order.service
-        return not task.told_usual and bool(self.baseline.rows(service))
+        return not task.baseline_announced and bool(self.baseline.rows(service))
 
-    def _by_halls(self) -> bool:
-        """Whether counts go from hall to hall, and not from each VM to all."""
-        return self.peers.size > VMS_IN_ONE_ROUND
+    def _uses_relays(self) -> bool:
+        """Return whether relays combine the counts of a hall for the other halls."""
+        return self.peers.size > MAX_VMS_TO_BROADCAST
 
-    def tell(self, task: TrialTask) -> None:
-        """Tell the others all that this VM has seen and decided in a trial.
+    def announce(self, task: TrialTask) -> None:
+        """Send this VM's counts and decisions in a trial to the other VMs.
 
         :param task: the trial.
         """
         now = monotonic()
         trial = task.trial
-        decided = task.tells > 0
-        task.told_at = now
-        task.told = trial.own.frozen()
-        task.tells = max(0, task.tells - 1)
-        usual = self.baseline.rows(trial.order.service)
-        task.told_usual = bool(usual)
-        report = replace(trial.report(now), usual=usual)
-        if not self._by_halls():
+        decided = task.announcements_due > 0
+        task.announced_at = now
+        task.announced_counts = trial.own.frozen()
+        task.announcements_due = max(0, task.announcements_due - 1)
+        baseline_rows = self.baseline.rows(trial.order.service)
+        task.baseline_announced = bool(baseline_rows)
+        report = replace(trial.report(now), usual=baseline_rows)
+        if not self._uses_relays():
             self.peers.tell_all(TrialNews(report))
         else:
             self.peers.tell_hall(self.context.hall, TrialNews(report))
             if decided:
-                # These must not wait for relays: sessions would be moved meanwhile.
+                # Decisions must not wait for relays, as other halls would move sessions
+                # in the meantime.
                 decisions = replace(report, counts=(), usual=())
                 self.peers.tell_other_halls(TrialNews(decisions))
-        self._log(task, trial.order.service, **facts_of(trial))
+        self._log(task, trial.order.service, **outcome_fields(trial))
 
     def _relay(self, task: TrialTask, now: float) -> None:
-        """Tell the other data halls what this one has seen, if that is news."""
-        if not self._by_halls() or not self.peers.is_relay():
+        """Send this hall's combined counts to the other halls, if they have changed."""
+        if not self._uses_relays() or not self.peers.is_relay():
             return
-        usual = self.baseline.rows_of_hall(task.trial.order.service)
-        report = replace(task.trial.report_of_hall(now), usual=usual)
-        if report.counts != task.relayed:
-            task.relayed = report.counts
+        baseline_rows = self.baseline.rows_of_hall(task.trial.order.service)
+        report = replace(task.trial.report_of_hall(now), usual=baseline_rows)
+        if report.counts != task.relayed_counts:
+            task.relayed_counts = report.counts
             self.peers.tell_relays(TrialNews(report, self.context.hall))
 
     def _log(self, task: TrialTask, detail: str, **counts: int) -> None:
-        """Tell in the log where a trial stands here."""
+        """Log the state of a trial on this VM."""
         now = monotonic()
         trial = task.trial
         self.context.timeline.emit(
@@ -196,24 +214,25 @@
         )
 
     def receive(self, envelope: Envelope) -> None:
-        """Take in what another VM tells of a trial.
+        """Apply another VM's update on a trial.
 
-        :param envelope: its message.
+        :param envelope: the VM's message.
         """
         body = envelope.body
         assert isinstance(body, TrialNews)
-        task = self._task_of(body.report)
+        task = self._find_task(body.report)
         if task is None:
             self.on_unknown(body.report)
             return
-        self._take(task, envelope, body)
+        self._apply(task, envelope, body)
 
-    def _take(self, task: TrialTask, envelope: Envelope, news: TrialNews) -> None:
+    def _apply(self, task: TrialTask, envelope: Envelope, update: TrialNews) -> None:
         trial = task.trial
         rejected = trial.rejected
-        self._take_counts(trial, envelope, news)
+        self._apply_report(trial, envelope, update)
         if trial.rejected and not rejected:
-            # The VM that found it writes it; the others do where it cannot.
+            # The VM that found the fault writes the order's status.  The others write
+            # it only if that VM cannot.
             spread = FIRST_WRITE_SPREAD * (1.0 + self.context.rng.random())
             task.write_at = monotonic() + spread
             self.context.timeline.emit(
@@ -221,31 +240,33 @@
                 version=trial.order.version,
                 detail=trial.order.service,
                 told_by=envelope.vm,
-                **facts_of(trial),
+                **outcome_fields(trial),
             )
 
-    def _take_counts(self, trial: Trial, envelope: Envelope, news: TrialNews) -> None:
-        """Take in what was seen, each answer once, and pass it on in this hall."""
+    def _apply_report(
+        self, trial: Trial, envelope: Envelope, update: TrialNews
+    ) -> None:
+        """Apply a report, counting each answer once, and forward it in this hall."""
         now = monotonic()
         vm = VmName(envelope.vm)
         here = self.context.hall
         sender = self.peers.hall_of(vm)
         service = trial.order.service
-        if news.hall and news.hall != here:
-            self.baseline.receive_from_hall(service, news.hall, news.report.usual)
-            told = trial.receive_from_hall(news.hall, news.report, now)
-            # Two relays of that hall tell the same to two of this one.
-            if told and sender != here:
-                self.peers.tell_hall(here, news)
-        elif self._by_halls() and sender != here:
-            # What this VM has seen comes with the counts of its hall.
-            trial.receive_decisions(news.report, now)
+        if update.hall and update.hall != here:
+            self.baseline.receive_from_hall(service, update.hall, update.report.usual)
+            changed = trial.receive_from_hall(update.hall, update.report, now)
+            # Two relays of that hall send the same report to two relays of this one.
+            if changed and sender != here:
+                self.peers.tell_hall(here, update)
+        elif self._uses_relays() and sender != here:
+            # The sender's counts arrive as part of its hall's combined counts.
+            trial.receive_decisions(update.report, now)
         else:
-            self.baseline.receive(service, vm, news.report.usual)
+            self.baseline.receive(service, vm, update.report.usual)
             process = VmProcess(f"{vm}/{envelope.incarnation}")
-            trial.receive(process, news.report, now)
+            trial.receive(process, update.report, now)
 
-    def _task_of(self, report: TrialReport) -> TrialTask | None:
+    def _find_task(self, report: TrialReport) -> TrialTask | None:
         for task in self.tasks.values():
             order = task.trial.order
             if (report.order, report.version) == (order.name, order.version):
@@ -253,77 +274,84 @@
         return None
 
     def answer(self, envelope: Envelope) -> Message:
-        """Tell a VM that asks all that is known here of a trial.
+        """Respond to another VM's request for the state of a trial.
 
-        :param envelope: the question.
+        :param envelope: the request.
+        :returns: the full report, with the combined baseline times; a failure if this
+            VM does not know the trial or is catching up itself.
         """
-        question = envelope.body
-        assert isinstance(question, AskTrial)
+        request = envelope.body
+        assert isinstance(request, AskTrial)
         for task in self.tasks.values():
             order = task.trial.order
-            known = (order.name, order.version) == (question.order, question.version)
-            if known and not task.asking:
+            known = (order.name, order.version) == (request.order, request.version)
+            if known and not task.catching_up:
                 report = task.trial.report(monotonic(), whole=True)
-                usual = self.baseline.all_rows(order.service)
-                return TrialNews(replace(report, usual=usual))
-        return Failure(f"no trial of {question.version} is known here")
+                baseline_rows = self.baseline.all_rows(order.service)
+                return TrialNews(replace(report, usual=baseline_rows))
+        return Failure(f"this VM knows no trial of version {request.version}")
 
     async def catch_up(self, task: TrialTask) -> None:
-        """Ask the others about a trial that has begun without this VM.
+        """Request the state of a trial that began without this VM.
 
-        :param task: the trial; until this returns the new version gets no sessions.
+        :param task: the trial.  Until this method returns, this VM assigns no sessions
+            to the new version.
         """
         trial = task.trial
         order = trial.order
-        told = None
+        response = None
         try:
-            told = await self.peers.ask_any(AskTrial(order.name, order.version))
-            known = told.report.seen if isinstance(told, TrialNews) else 0
-            if not known:
+            response = await self.peers.ask_any(AskTrial(order.name, order.version))
+            seen = response.report.seen if isinstance(response, TrialNews) else 0
+            if not seen:
                 await self._recover(trial)
         finally:
-            # Whatever comes, callers are not kept waiting for longer.
-            self._join(task, told)
+            # Also after an error, so that callers are not kept waiting any longer.
+            self._join(task, response)
 
     async def _recover(self, trial: Trial) -> None:
-        """Look for what VMs that are lost had seen of a trial, for none lives."""
+        """Apply the stored state of a trial whose VMs have all been lost."""
         if self.record is None:
             return
         try:
-            async with asyncio.timeout(RECOVER_SECONDS):
-                found = await self.record.recover(trial)
+            async with asyncio.timeout(RECOVER_TIMEOUT_SECONDS):
+                recovered = await self.record.recover(trial)
         except TimeoutError:
-            found = False
-        if found:
+            recovered = False
+        if recovered:
             self.context.metrics.count("trials_recovered")
 
-    def _join(self, task: TrialTask, told: Message | None) -> None:
-        """Take over where a trial stands, if another VM has told."""
+    def _join(self, task: TrialTask, response: Message | None) -> None:
+        """Adopt the state of a trial from another VM's response, if there is one."""
         trial = task.trial
         now = monotonic()
-        if isinstance(told, TrialNews):
-            # Only what holds for all VMs: the sender's counts come with its news.
-            trial.join(told.report, now)
-            self.baseline.recover(trial.order.service, told.report.usual)
+        if isinstance(response, TrialNews):
+            # The sender's own counts are left out, as they follow with its updates.
+            trial.join(response.report, now)
+            self.baseline.recover(trial.order.service, response.report.usual)
         else:
-            # None that could be asked knows more than what stands in the store.
+            # No VM that could be reached knows more than the order in the store says.
             trial.open = now >= trial.opens_at
-        task.asking = False
-        known = "as others know it" if told is not None else "no other VM knows it"
-        self._log(task, f"{trial.order.service}: {known}")
+        task.catching_up = False
+        source = (
+            "state received from another VM"
+            if response is not None
+            else "no other VM knows the trial"
+        )
+        self._log(task, f"{trial.order.service}: {source}")
 
 
-def facts_of(trial: Trial) -> dict[str, int]:
-    """:param trial: a trial.
+def outcome_fields(trial: Trial) -> dict[str, int]:
+    """Return the outcome counts of a trial as fields of a log line.
 
-    :returns: its counts, for the log.
+    :param trial: the trial.
     """
-    found = {}
+    fields = {}
     for measure in Measure:
         new = trial.outcome_counts().total(measure)
         old = trial.old_total(measure)
-        found[f"{measure.value}"] = new.bad
-        found[f"{measure.value}_of"] = new.bad + new.good
-        found[f"old_{measure.value}"] = old.bad
-        found[f"old_{measure.value}_of"] = old.bad + old.good
-    return found
+        fields[f"{measure.value}"] = new.bad
+        fields[f"{measure.value}_of"] = new.bad + new.good
+        fields[f"old_{measure.value}"] = old.bad
+        fields[f"old_{measure.value}_of"] = old.bad + old.good
+    return fields
--- a/walnutquay/coordination/trials/record.py
+++ b/walnutquay/coordination/trials/record.py
@@ -1,9 +1,10 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What is known of versions on trial, kept in the platform's store.
+"""Records of trials in the platform's store.
 
-VMs keep nothing, and all may be lost at once, again and again within one trial: each
-time they would judge the version anew, and give a bad one more and more requests.
+VMs store nothing locally, and all of them may be lost at once, even several times
+within one trial.  Without a record they would evaluate the version from the start each
+time, and send more and more requests to a bad one.
 """
 
 from __future__ import annotations
@@ -27,8 +28,9 @@
 
 log = logbook.Logger(__name__)
 
-# How often the record is written while there is news: what was seen since is lost with
-# all VMs, a tenth of a trial of 20 s.  Each write is a call of the store.
+# How often the record is written while the counts change.  If all VMs are lost, so are
+# the counts since the last write: those of a tenth of a trial of 20 s.  Each write is a
+# call to the store.
 WRITE_SECONDS = 2.0
 
 
@@ -36,38 +38,40 @@
     """Values in the platform's store."""
 
     async def read(self, name: str) -> Stored:
-        """:param name: a value's name.
+        """Read a value.
 
-        :returns: it, or version 0 where there is none.
+        :param name: the value's name.
+        :returns: the value; one with version 0 if there is none.
         """
 
     async def write(self, name: str, value: bytes, expected: int) -> int:
-        """:param name: a value's name.
+        """Write a value, if it has not changed.
 
-        :param value: its new JSON.
-        :param expected: the version that it must have; 0 to make it.
-        :returns: its new version.
+        :param name: the value's name.
+        :param value: the new JSON.
+        :param expected: the version that the stored value must have; 0 to create it.
+        :returns: the new version.
         """
 
 
-class Keepers(Protocol):
-    """The other entry VMs."""
+class WriterSelector(Protocol):
+    """Selects the one VM that writes a record."""
 
     def is_keeper(self, key: str) -> bool:
-        """:param key: a name.
+        """Return whether this VM is the one that does the work for a key.
 
-        :returns: whether this VM, of all, does what is done once for it.
+        :param key: the key.
         """
 
 
 class _Strict(BaseModel):
-    """What is stored, read strictly."""
+    """The base of stored models, which are validated strictly."""
 
     model_config = ConfigDict(strict=True, extra="ignore", frozen=True)
 
 
 class StoredCounts(_Strict):
-    """Answers of the new version, by what they are judged by."""
+    """The new version's outcome counts for one measure and route."""
 
     measure: str
     route: str
@@ -76,64 +80,69 @@
     endpoints: list[str]
 
 
-class StoredUsual(_Strict):
-    """How long one kind of answer takes at the old version."""
+class StoredBaselineTime(_Strict):
+    """The old version's mean time for one kind of answer."""
 
-    # As text: numbers of 64 bits are not exact in JSON.
+    # The hash as text, as 64-bit numbers are not exact in JSON.
     kind: str
     seconds: float
     seen: int
 
 
 class StoredTrial(_Strict):
-    """Where a trial stands."""
+    """The state of a trial."""
 
     version: str
     verdict: str
     counts: list[StoredCounts]
-    usual: list[StoredUsual]
+    usual: list[StoredBaselineTime]
 
 
 class TrialRecord:
-    """Keeps what all VMs know of trials for those that start when all are lost.
+    """Stores the combined state of trials, for VMs that start after all were lost.
 
-    :param keepers: chooses the VM that writes.
+    :param writer_selector: selects the VM that writes.
     :param values: the platform's store.
-    :param usual: how long answers of the old versions take.
-    :param reads: tells whether this VM reads the store as it starts: a few do, and tell
-        all of a version that they find to be bad.
+    :param baseline: the answer times of the old versions.
+    :param reads_store: returns whether this VM reads the store as it starts.  Only a
+        few VMs do; they announce a version that they find to be bad to all others.
     """
 
     def __init__(
         self,
-        keepers: Keepers,
+        writer_selector: WriterSelector,
         values: Values,
-        usual: BaselineTimes,
-        reads: Callable[[], Awaitable[bool]],
+        baseline: BaselineTimes,
+        reads_store: Callable[[], Awaitable[bool]],
     ) -> None:
-        self.keepers = keepers
+        self.writer_selector = writer_selector
         self.values = values
-        self.baseline = usual
-        self.reads = reads
+        self.baseline = baseline
+        self.reads_store = reads_store
         self.tasks = Tasks()
-        # What was written last of each order, when, and as which version of the value.
+        # The last report written for each order, when it was written, and the version
+        # of the stored value.
         self.written: dict[str, TrialReport] = {}
         self.written_at: dict[str, float] = {}
         self.versions: dict[str, int] = {}
 
     def stop(self) -> None:
-        """Write no more."""
+        """Stop writing."""
         self.tasks.stop()
 
-    def keep(self, task: TrialTask) -> None:
-        """Write where a trial stands, if this VM is to, and there is news.
+    def write_if_due(self, task: TrialTask) -> None:
+        """Write the state of a trial, if this VM is its writer and it has changed.
 
         :param task: the trial.
         """
         order = task.trial.order.name
         now = monotonic()
         due = now - self.written_at.get(order, float("-inf")) >= WRITE_SECONDS
-        if task.asking or not due or not self.keepers.is_keeper(_value(order)):
+        if (
+            task.catching_up
+            or not due
+            or not self.writer_selector.is_keeper(_value_name(order))
+        ):
             return
         report = task.trial.report_of_all(now)
         if report.counts and report != self.written.get(order):
@@ -143,7 +152,7 @@
 
     async def _write(self, trial: Trial, report: TrialReport) -> None:
         order = trial.order.name
-        name = _value(order)
+        name = _value_name(order)
         data = encode(report, self.baseline.all_rows(trial.order.service))
         try:
             if order not in self.versions:
@@ -151,34 +160,35 @@
             expected = self.versions[order]
             self.versions[order] = await self.values.write(name, data, expected)
         except PlatformConflictError as error:
-            # Another VM was to write it until now; the next time its version is read.
+            # Another VM was the writer until now.  The next write reads the version of
+            # its record first.
             self.versions.pop(order, None)
             log.debug("another VM wrote the record of a trial: {}", error)
         except PlatformError as error:
             self.versions.pop(order, None)
-            log.debug("the record of a trial cannot be written: {}", error)
+            log.debug("could not write the record of a trial: {}", error)
 
     async def recover(self, trial: Trial) -> bool:
-        """Take in what is stored of a trial, for no VM has seen any of it.
+        """Apply the stored state of a trial whose answers no running VM has seen.
 
         :param trial: the trial.
-        :returns: whether there was anything.
+        :returns: whether a record was found and applied.
         """
         order = trial.order
-        if not await self.reads():
+        if not await self.reads_store():
             return False
         try:
-            stored = await self.values.read(_value(order.name))
+            stored = await self.values.read(_value_name(order.name))
         except PlatformError as error:
-            log.info("the record of trial {} cannot be read: {}", order.name, error)
+            log.info("could not read the record of trial {}: {}", order.name, error)
             return False
         if not stored.value:
             return False
         try:
             found = StoredTrial.model_validate_json(stored.value)
-            report = _report(trial, found)
+            report = _to_report(trial, found)
         except (ValidationError, ValueError) as error:
-            log.error("the record of trial {} is left out: {}", order.name, error)
+            log.error("ignored the record of trial {}: {}", order.name, error)
             return False
         if found.version != order.version:
             return False
@@ -187,15 +197,15 @@
         return True
 
 
-def _value(order: str) -> str:
+def _value_name(order: str) -> str:
     return f"trials/{order}"
 
 
-def encode(report: TrialReport, usual: tuple[BaselineTime, ...]) -> bytes:
-    """:param report: where a trial stands.
+def encode(report: TrialReport, baseline: tuple[BaselineTime, ...]) -> bytes:
+    """Encode the state of a trial as JSON.
 
-    :param usual: how long answers of the old version take.
-    :returns: it as JSON.
+    :param report: the report on the trial.
+    :param baseline: the answer times of the old version.
     """
     return (
         StoredTrial(
@@ -212,8 +222,10 @@
                 for (measure, route), counts in report.counts
             ],
             usual=[
-                StoredUsual(kind=str(row.kind), seconds=row.seconds, seen=row.seen)
-                for row in usual
+                StoredBaselineTime(
+                    kind=str(row.kind), seconds=row.seconds, seen=row.seen
+                )
+                for row in baseline
             ],
         )
         .model_dump_json()
@@ -221,10 +233,10 @@
     )
 
 
-def _report(trial: Trial, stored: StoredTrial) -> TrialReport:
-    """Read what is stored of a trial.
+def _to_report(trial: Trial, stored: StoredTrial) -> TrialReport:
+    """Convert the stored state of a trial to a report.
 
-    :raises ValueError: if it names a measure or a verdict that there is not.
+    :raises ValueError: if it contains an unknown measure or verdict.
     """
     counts = tuple(
         (
@@ -233,7 +245,7 @@
         )
         for row in stored.counts
     )
-    usual = tuple(
+    baseline = tuple(
         BaselineTime(int(row.kind), row.seconds, row.seen) for row in stored.usual
     )
     return TrialReport(
@@ -241,5 +253,5 @@
         trial.order.version,
         counts,
         verdict=Verdict(stored.verdict),
-        usual=usual,
+        usual=baseline,
     )
--- a/walnutquay/coordination/trials/sessions.py
+++ b/walnutquay/coordination/trials/sessions.py
@@ -10,7 +10,7 @@
 
 from walnutquay.coordination.requests.places import Grant
 from walnutquay.coordination.routed.turn import RoutedTurn
-from walnutquay.coordination.trials.exchange import LAST_CALL_SECONDS, Peers
+from walnutquay.coordination.trials.exchange import PRE_OPENING_SECONDS, Peers
 from walnutquay.coordination.trials.task import TrialTask
 from walnutquay.protocol.messages import Envelope, SessionsSeen, SessionsTaken
 from walnutquay.state.process.ids import ServiceName, VersionName
@@ -21,112 +21,117 @@
 
 log = logbook.Logger(__name__)
 
-# A session whose last request has ended may be that much over its time here.
-MARGIN_SECONDS = 1.0
-# Sessions that a stopping VM hands over: some 60 bytes each, so that a message is far
-# from the longest that VMs take.  At the largest size a VM has some 300 that are not
-# over.
+# How long a record outlives its session, counted from the end of the last request that
+# this VM has seen.
+EXPIRY_MARGIN_SECONDS = 1.0
+# The most sessions that a stopping VM hands over.  Each takes some 60 bytes, so the
+# message is far below the largest that VMs accept.  A VM of the largest size has some
+# 300 sessions that have not expired.
 MAX_HANDED_OVER = 5_000
 
 
-class SessionKeeper:
-    """Notes which version served each session, and has other VMs know where it counts.
+class SessionTracker:
+    """Records which version served each session, and announces it if necessary.
 
-    It counts where a session falls to a version on trial and the old one has served it.
+    This is necessary if a session is assigned to a version on trial, but the old version has
+    already served it.
 
     :param tasks: the trials, by service.
     :param peers: the other VMs.
-    :param tell: tells them all that was decided in a trial.
-    :param session_seconds: requests of one session come within this time of each other.
+    :param announce: sends this VM's decisions in a trial to all VMs.
+    :param session_seconds: the longest time between two requests of one session.
     """
 
     def __init__(
         self,
         tasks: Mapping[ServiceName, TrialTask],
         peers: Peers,
-        tell: Callable[[TrialTask], None],
+        announce: Callable[[TrialTask], None],
         session_seconds: float,
     ) -> None:
         self.tasks = tasks
         self.peers = peers
-        self.tell = tell
-        self.notes = SessionRecords(session_seconds + MARGIN_SECONDS)
+        self.announce = announce
+        self.records = SessionRecords(session_seconds + EXPIRY_MARGIN_SECONDS)
 
-    def note_of(self, turn: RoutedTurn, now: float) -> SessionRecord | None:
-        """:param turn: a request.
+    def find_record(self, turn: RoutedTurn, now: float) -> SessionRecord | None:
+        """Find this VM's record of a request's session.
 
+        :param turn: the request.
         :param now: monotonic seconds.
-        :returns: what this VM has seen of its session, unless that is over.
+        :returns: the record; None if there is none or the session has expired.
         """
-        return self.notes.find(turn.service, turn.session, now)
+        return self.records.find(turn.service, turn.session, now)
 
     def began(self, turn: RoutedTurn, grant: Grant) -> None:
-        """:param turn: a request that is sent now.
+        """Record that a request is sent.
 
-        :param grant: the endpoint.
+        :param turn: the request.
+        :param grant: the endpoint's slot.
         """
         endpoint = grant.endpoint
         if not turn.session or not isinstance(endpoint, Instance):
             return
         now = monotonic()
-        self.notes.began(turn.service, turn.session, endpoint.version, now)
-        if self._keep(turn.service, turn.session, endpoint.version, now):
-            self._tell_kept(self.tasks[turn.service], now)
+        self.records.began(turn.service, turn.session, endpoint.version, now)
+        if self._keep_on_old(turn.service, turn.session, endpoint.version, now):
+            self._announce_kept(self.tasks[turn.service], now)
 
     def left(self, turn: RoutedTurn, grant: Grant) -> None:
-        """:param turn: a request that an endpoint is done with, however it ended.
+        """Record that a request has ended at its endpoint, for whatever reason.
 
-        :param grant: the endpoint.
+        :param turn: the request.
+        :param grant: the endpoint's slot.
         """
         if turn.session and isinstance(grant.endpoint, Instance):
-            self.notes.ended(turn.service, turn.session, monotonic())
+            self.records.ended(turn.service, turn.session, monotonic())
 
-    def trial_begins(self, trial: Trial) -> None:
+    def on_trial_begin(self, trial: Trial) -> None:
         """Keep the sessions that this VM has served, as a trial begins.
 
         :param trial: the trial.
         """
         order = trial.order
         now = monotonic()
-        for seen in self.notes.recent(now):
+        for seen in self.records.recent(now):
             if seen.service == order.service and seen.version != order.version:
                 trial.keep(seen.session, now)
 
-    def _keep(
+    def _keep_on_old(
         self, service: ServiceName, session: str, version: VersionName, now: float
     ) -> bool:
-        """Leave a session on the old version, if that served it.
+        """Keep a session on the old version if that version served it.
 
-        :returns: whether the other VMs have to be told.
+        :returns: whether this has to be announced to the other VMs.
         """
         task = self.tasks.get(service)
         if task is None or task.trial.order.version == version:
             return False
         kept = task.trial.keep(session, now)
         if kept:
-            task.decided()
+            task.schedule_announcements()
         return kept
 
-    def _tell_kept(self, task: TrialTask, now: float) -> None:
-        """Have all VMs leave on the old version what this one has kept there.
+    def _announce_kept(self, task: TrialTask, now: float) -> None:
+        """Announce the sessions that this VM keeps on the old version.
 
-        Where the new version gets sessions, or will soon, they are told at once: told
-        with the next look, 0.25 s later, 2 of 520 simulated trials moved sessions that
-        had come to another VM meanwhile.
+        This is done at once if the new version gets sessions, or will soon.  When they
+        were announced at the next evaluation, up to 0.25 s later, 2 of 520 simulated
+        trials moved sessions whose next request reached another VM in the meantime.
         """
-        if now >= task.trial.opens_at - LAST_CALL_SECONDS:
-            self.tell(task)
+        if now >= task.trial.opens_at - PRE_OPENING_SECONDS:
+            self.announce(task)
 
     async def hand_over(self) -> None:
-        """Leave what this VM has seen of sessions to others, as it stops."""
-        rows = tuple(self.notes.recent(monotonic()))[:MAX_HANDED_OVER]
+        """Send this VM's session records to another VM, as this one stops."""
+        rows = tuple(self.records.recent(monotonic()))[:MAX_HANDED_OVER]
         if rows and await self.peers.ask_any(SessionsSeen(rows)) is None:
-            log.warn("{} sessions could not be handed over", len(rows))
+            log.warn("could not hand over {} sessions: no VM responded", len(rows))
 
     def take_over(self, envelope: Envelope) -> SessionsTaken:
-        """Take over what a VM that stops has seen of sessions.
+        """Apply the session records of a VM that stops.
 
-        :param envelope: its message.
+        :param envelope: the VM's message.
         """
         body = envelope.body
         assert isinstance(body, SessionsSeen)
@@ -134,10 +139,10 @@
         kept = {
             seen.service
             for seen in body.rows
-            if self.notes.apply(seen, now)
-            and self._keep(seen.service, seen.session, seen.version, now)
+            if self.records.apply(seen, now)
+            and self._keep_on_old(seen.service, seen.session, seen.version, now)
         }
         for service in kept:
-            self._tell_kept(self.tasks[service], now)
-        log.info("{} sessions were taken over from {}", len(body.rows), envelope.vm)
+            self._announce_kept(self.tasks[service], now)
+        log.info("took over {} sessions from {}", len(body.rows), envelope.vm)
         return SessionsTaken()
--- a/walnutquay/coordination/trials/versions.py
+++ b/walnutquay/coordination/trials/versions.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Which version of a service serves a request, and what comes of new ones."""
+"""Chooses the version that serves a request, and decides trials of new versions."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from walnutquay.coordination.routed.turn import RoutedTurn
 from walnutquay.coordination.store.knowledge import Knowledge
 from walnutquay.coordination.trials.answers import (
-    OrderAnswers,
+    OrderStatusWriter,
     OrderStore,
     unix_seconds,
 )
 from walnutquay.coordination.trials.evaluation import AnswerEvaluator
-from walnutquay.coordination.trials.exchange import Peers, TrialExchange, facts_of
-from walnutquay.coordination.trials.sessions import SessionKeeper
+from walnutquay.coordination.trials.exchange import Peers, TrialExchange, outcome_fields
+from walnutquay.coordination.trials.sessions import SessionTracker
 from walnutquay.coordination.trials.task import FIRST_WRITE_SPREAD, TrialTask
 from walnutquay.exceptions import PlatformConflictError, PlatformError
 from walnutquay.settings import PromisesSection
@@ -38,29 +38,32 @@
 
 log = logbook.Logger(__name__)
 
-# How often each trial is looked at.
+# How often each trial is evaluated.
 DECIDE_SECONDS = 0.25
-# From when a VM learns of an order until it gives the new version its first sessions:
-# by then all VMs know of the order, and which sessions the others keep on the old one.
-# VMs learn of an order within 0.04 s of each other (fleet of 61 VMs), and one whose
-# watcher of the store falls silent asks another after 0.9 s.
+# The time from when a VM learns of an order until it assigns the first sessions to the
+# new version.  By then all VMs know of the order, and of the sessions that the others
+# keep on the old version.  VMs learn of an order within 0.04 s of each other (in a
+# fleet of 61 VMs); one whose watcher of the store falls silent tries another after
+# 0.9 s.
 SETTLE_SECONDS = 1.0
-# The same from when its first endpoint is known: VMs are told of an endpoint within
-# 0.2 s of each other, and one that does not know it would use the old version.
-SPREAD_SECONDS = 0.3
-# Why a version is taken back that nothing else tells against.
-DOUBTED = "it is in doubt late in its trial"
-# Names of orders are the operators'; those of a day are few.
-MAX_HEARD_OF = 100
+# The time from when a VM learns of the version's first endpoint until it assigns the
+# first sessions.  VMs learn of an endpoint within 0.2 s of each other, and a VM that
+# does not know of it would use the old version.
+ENDPOINT_SPREAD_SECONDS = 0.3
+# The reason logged for withdrawing a version without a fault.
+DOUBTFUL = "it is in doubt late in its trial"
+# The most orders announced by other VMs that are remembered.  There has to be a limit,
+# as operators choose the names; they give a few orders a day.
+MAX_ANNOUNCED_ORDERS = 100
 
 
 class VersionTrials:
-    """Chooses versions while one is rolled out, and decides the order.
+    """Chooses versions during roll-outs, and decides the roll-out orders.
 
-    :param context: what this process shares.
+    :param context: the objects shared by all parts of this process.
     :param knowledge: the orders and the running endpoints.
-    :param order_store: where orders are answered.
-    :param peers: who else sees answers of the versions.
+    :param order_store: the store to which the orders' status is written.
+    :param peers: the other entry VMs.
     :param promises: the platform's limits.
     """
 
@@ -74,118 +77,122 @@
     ) -> None:
         self.context = context
         self.knowledge = knowledge
-        self.answers = OrderAnswers(order_store, knowledge.orders)
+        self.order_status = OrderStatusWriter(order_store, knowledge.orders)
         self.promises = promises
         self.tasks: dict[ServiceName, TrialTask] = {}
         self.settled = SettledVersions()
-        # Orders that other VMs knew before this one did.
-        self.heard_of: LatestTable[tuple[str, str], bool] = LatestTable(
-            MAX_HEARD_OF, bool
+        # Orders that other VMs announced before this one had read them.
+        self.announced_orders: LatestTable[tuple[str, str], bool] = LatestTable(
+            MAX_ANNOUNCED_ORDERS, bool
         )
-        self.evaluator = AnswerEvaluator(self.trial_of, self._judge)
+        self.evaluator = AnswerEvaluator(self.trial_of, self._reject_if_bad)
         self.exchange = TrialExchange(
             context, peers, self.tasks, self.evaluator.baseline, self._on_unknown
         )
-        self.sessions = SessionKeeper(
-            self.tasks, peers, self.exchange.tell, promises.session_seconds
+        self.sessions = SessionTracker(
+            self.tasks, peers, self.exchange.announce, promises.session_seconds
         )
         self.background = Tasks()
-        # Whether this VM has once known all that others decided before it started.
+        # Set once this VM has learned of all decisions made before it started.
         self.caught_up = False
         knowledge.orders.listeners.append(self.on_order)
         knowledge.conditions.append(self.has_caught_up)
 
     def start(self) -> None:
-        """Begin to decide."""
+        """Start evaluating trials periodically."""
         self.context.timers.every("version trials", DECIDE_SECONDS, self.decide)
 
     def stop(self) -> None:
-        """Ask the other VMs, and write, no more."""
+        """Stop sending requests to other VMs and writing to the store."""
         self.background.stop()
         if self.exchange.record is not None:
             self.exchange.record.stop()
 
     def has_caught_up(self) -> bool:
-        """:returns: whether callers may be served, as far as trials are concerned.
+        """Return whether this VM knows enough of trials to serve callers.
 
-        A VM that has just started asks the others first about trials that run: it would
-        move sessions back that they have moved, and move those that they keep.
+        A VM that has just started first requests the state of running trials from the
+        others.  Otherwise it would move back sessions that they have moved, and move
+        sessions that they keep.
         """
         if not self.caught_up:
             self.caught_up = self.knowledge.orders.listed and not any(
-                task.asking for task in self.tasks.values()
+                task.catching_up for task in self.tasks.values()
             )
         return self.caught_up
 
-    # What is known.
+    # State.
 
     def trial_of(self, service: ServiceName) -> Trial | None:
-        """:param service: a service.
+        """Return the trial of a service's new version; None if there is none.
 
-        :returns: the trial of its new version, if there is one.
+        :param service: the service.
         """
         task = self.tasks.get(service)
         return task.trial if task is not None else None
 
     def on_order(self, order: RolloutOrder) -> None:
-        """Take in an order.
+        """Apply a new or changed order.
 
-        :param order: the order as it stands now.
+        :param order: the order in its current state.
         """
         task = self.tasks.get(order.service)
         if order.state.ended:
-            self._ended(order, task)
+            self._end_trial(order, task)
             return
         known = task.trial.order.version if task is not None else None
         if task is None or known != order.version:
-            self._begin(order)
+            self._begin_trial(order)
             return
         task.trial.order = order
 
-    def _begin(self, order: RolloutOrder) -> None:
-        """Begin a trial, and let the other VMs know which sessions it must not move."""
+    def _begin_trial(self, order: RolloutOrder) -> None:
+        """Begin a trial, and announce the sessions that stay on the old version.
+
+        :param order: the trial's order.
+        """
         self.settled.begun(order)
         now = monotonic()
         start_observed = order.state is OrderState.NEW
         elapsed = 0.0
         if order.started is not None:
-            # Others have seen it before; their time of day may differ from ours.
+            # Another VM saw the order first, and its time of day may differ.
             elapsed = min(max(0.0, unix_seconds() - order.started), order.seconds)
         limit = self.promises.trial_share
         trial = Trial(order, now - elapsed, limit, start_observed)
         spread = self.context.rng.random() * FIRST_WRITE_SPREAD
         task = self.tasks[order.service] = TrialTask(trial, now + spread)
-        self.sessions.trial_begins(trial)
+        self.sessions.on_trial_begin(trial)
         trial.opens_at = trial.started + SETTLE_SECONDS
         if not start_observed:
-            task.asking = True
+            task.catching_up = True
             self.background.spawn(self.exchange.catch_up(task))
         if trial.kept.own:
-            task.decided()
-            self.exchange.tell(task)
+            task.schedule_announcements()
+            self.exchange.announce(task)
 
     def _on_unknown(self, report: TrialReport) -> None:
-        """Read the orders anew, where others know one that this VM does not."""
+        """Read the orders again, as another VM knows one that this VM does not."""
         known = self.knowledge.orders.orders.get(report.order)
         if known is not None and known.version == report.version:
             return
         self.context.metrics.count("trials_heard_before_their_order")
-        # Once for each: a call that is given up again and again would never show that
-        # the store does not answer.
-        if self.heard_of.get((report.order, report.version)) is None:
-            self.heard_of.touch((report.order, report.version))
+        # Only once for each order.  A call that is abandoned again and again would
+        # never show that the store does not respond.
+        if self.announced_orders.get((report.order, report.version)) is None:
+            self.announced_orders.touch((report.order, report.version))
             self.knowledge.order_follower.nudge()
 
-    def _ended(self, order: RolloutOrder, task: TrialTask | None) -> None:
+    def _end_trial(self, order: RolloutOrder, task: TrialTask | None) -> None:
         if task is not None:
             del self.tasks[order.service]
         self.settled.ended(order)
 
     def allowed(self, service: ServiceName) -> frozenset[VersionName] | None:
-        """:param service: a service.
+        """Return the versions for requests whose version no trial has chosen.
 
-        :returns: the versions that requests may use which no trial has chosen for;
-            None for all.
+        :param service: the service.
+        :returns: the versions that the requests may use; None for all.
         """
         instances = self.knowledge.instances
         running = instances.book.versions_of(service)
@@ -197,50 +204,53 @@
     # Requests.
 
     def version_for(self, turn: RoutedTurn) -> VersionChoice | None:
-        """:param turn: a request that needs a place.
+        """Choose the version for a request that needs a slot.
 
-        :returns: which version serves it, and why; None where none is on trial.
+        :param turn: the request.
+        :returns: the version and the reason for it; None if no version is on trial.
         """
         task = self.tasks.get(turn.service)
         if task is None:
             return None
         trial = task.trial
         now = monotonic()
-        note = self.sessions.note_of(turn, now)
+        session_record = self.sessions.find_record(turn, now)
         share = trial.share(now)
-        new, reason = self._chooses_new(turn, task, note, now, share)
+        new, reason = self._choose(turn, task, session_record, now, share)
         self.context.metrics.count(f"trial_choices_{reason.name.lower()}")
         return VersionChoice(
             trial.order.version if new else VersionName(""),
             reason,
             share,
             now - trial.started,
-            math.inf if note is None else note.age(now),
+            math.inf if session_record is None else session_record.age(now),
         )
 
     def _is_open(self, task: TrialTask, now: float) -> bool:
-        """Whether the new version gets sessions: all VMs know of it, and its endpoints.
+        """Return whether the new version gets sessions.
 
-        Before, one that does not know them would send the same sessions elsewhere.
+        It does once all VMs know of the order and of the version's endpoints.  Before
+        that, a VM that does not know them would send the same sessions to the old
+        version.
         """
         trial = task.trial
-        if not trial.open and not task.asking:
+        if not trial.open and not task.catching_up:
             order = trial.order
             book = self.knowledge.instances.book
             since = book.version_since(order.service, order.version)
-            known = since is not None and now >= since + SPREAD_SECONDS
+            known = since is not None and now >= since + ENDPOINT_SPREAD_SECONDS
             trial.open = known and now >= trial.opens_at
         return trial.open
 
-    def _chooses_new(
+    def _choose(
         self,
         turn: RoutedTurn,
         task: TrialTask,
-        note: SessionRecord | None,
+        session_record: SessionRecord | None,
         now: float,
         share: float,
     ) -> tuple[bool, ChoiceReason]:
-        """Choose between the version on trial and the old one, and say what decides."""
+        """Return whether a request goes to the version on trial, and the reason."""
         trial = task.trial
         if turn.avoid_new:
             return False, ChoiceReason.FAILED_THERE
@@ -249,15 +259,17 @@
         version = trial.order.version
         if version not in self.knowledge.instances.book.versions_of(turn.service):
             return False, ChoiceReason.NONE_RUNS
-        on_new = note is not None and note.version == version
-        seen_on_new = note.at if note is not None and on_new else -math.inf
-        # The session's other requests may have come to any VM: with 6 VMs four of five
-        # neighbouring requests did.
+        on_new = session_record is not None and session_record.version == version
+        seen_on_new = (
+            session_record.at if session_record is not None and on_new else -math.inf
+        )
+        # The session's other requests may have arrived at any VM.  With 6 VMs, four of
+        # five consecutive requests arrived at different ones.
         if turn.session and trial.must_stay_on_old(turn.session, seen_on_new, now):
             return False, ChoiceReason.KEPT
         if on_new:
             return True, ChoiceReason.SESSION_ON_NEW
-        if note is not None and not trial.may_move_sessions(now):
+        if session_record is not None and not trial.may_move_sessions(now):
             return False, ChoiceReason.SESSION_ON_OLD
         if not self._is_open(task, now):
             return False, ChoiceReason.NOT_OPEN
@@ -265,60 +277,69 @@
         return is_assigned_to_new(session, version, share), ChoiceReason.SHARE
 
     def began(self, turn: RoutedTurn, grant: Grant) -> None:
-        """:param turn: a request that is sent now.
+        """Record that a request is sent.
 
-        :param grant: the endpoint.
+        :param turn: the request.
+        :param grant: the endpoint's slot.
         """
         self.sessions.began(turn, grant)
         self.evaluator.sent(turn, grant)
 
     def answer_began(self, turn: RoutedTurn, grant: Grant, seconds: float) -> None:
-        """:param turn: a request whose answer begins.
+        """Evaluate the time until an answer began.
 
-        :param grant: who answers.
-        :param seconds: since it was sent.
+        :param turn: the request.
+        :param grant: the slot of the endpoint that answers.
+        :param seconds: the time since the request was sent.
         """
-        self.evaluator.begun(turn, grant, seconds)
+        self.evaluator.answer_began(turn, grant, seconds)
 
     def left(self, turn: RoutedTurn, grant: Grant) -> None:
-        """:param turn: a request that an endpoint is done with, however it ended.
+        """Record that a request has ended at its endpoint, for whatever reason.
 
-        :param grant: the endpoint.
+        :param turn: the request.
+        :param grant: the endpoint's slot.
         """
         self.sessions.left(turn, grant)
         self.evaluator.left(turn)
 
     def succeeded(self, turn: RoutedTurn, grant: Grant, seconds: float) -> None:
-        """:param turn: a request that was answered, or a short stream.
+        """Count a request that was answered, or a short stream.
 
-        :param grant: who answered.
-        :param seconds: until the answer's head.
+        :param turn: the request.
+        :param grant: the slot of the endpoint that answered.
+        :param seconds: the time until the answer's head.
         """
         self.evaluator.succeeded(turn, grant, seconds)
 
     def paced(
         self, turn: RoutedTurn, grant: Grant, seconds: float, pause: float
     ) -> None:
-        """:param turn: a request that is answered by a stream.
+        """Evaluate a stream by its first events.
 
-        :param grant: who answers.
-        :param seconds: until the answer's head.
+        :param turn: the request.
+        :param grant: the slot of the endpoint that answers.
+        :param seconds: the time until the answer's head.
         :param pause: the mean time between its first events.
         """
         self.evaluator.paced(turn, grant, seconds, pause)
 
     def failed(self, turn: RoutedTurn, grant: Grant) -> None:
-        """:param turn: a request whose endpoint answered that it failed.
+        """Count a request whose endpoint answered that it failed.
 
-        :param grant: the endpoint.
+        A retry does not go to the version on trial if that is the one that failed.
+
+        :param turn: the request.
+        :param grant: the endpoint's slot.
         """
         self.evaluator.failed(turn, grant)
-        if self.evaluator.on_trial(grant):
+        if self.evaluator.is_on_trial(grant):
             turn.avoid_new = True
 
     # Decisions.
 
-    def _judge(self, trial: Trial) -> None:
+    def _reject_if_bad(self, trial: Trial) -> None:
+        """Reject the version of a trial if it is bad."""
         if trial.rejected or not trial.is_bad(monotonic()):
             return
         fault = trial.fault()
@@ -326,50 +347,54 @@
         task = self.tasks.get(trial.order.service)
         if task is not None:
             task.found_bad = True
-            task.decided()
+            task.schedule_announcements()
         self.context.timeline.emit(
             EventKind.BRAKED,
             version=trial.order.version,
             detail=trial.order.service,
-            reason=DOUBTED if fault is None else fault.value,
-            **facts_of(trial),
+            reason=DOUBTFUL if fault is None else fault.value,
+            **outcome_fields(trial),
         )
 
     async def decide(self) -> None:
-        """Look at each trial, and do what it needs."""
+        """Evaluate each trial, and act on the result."""
         self.evaluator.check_overdue()
         for task in list(self.tasks.values()):
             try:
                 await self._decide(task)
             except PlatformConflictError:
-                await self.answers.read_again(task.trial.order)
+                await self.order_status.reread(task.trial.order)
             except PlatformError as error:
-                log.warn("a trial's status could not be written yet: {}", error)
+                log.warn("could not write the status of a trial yet: {}", error)
 
     async def _decide(self, task: TrialTask) -> None:
         trial = task.trial
         order = trial.order
-        self._judge(trial)
+        self._reject_if_bad(trial)
         now = monotonic()
         trial.advance(now)
-        # Also where no request asks: a VM that starts is told of it.
+        # Done even without requests, as the result is part of the response to a VM that
+        # starts.
         self._is_open(task, now)
-        self.exchange.tell_if_due(task)
+        self.exchange.announce_if_due(task)
         if self.exchange.record is not None:
-            self.exchange.record.keep(task)
+            self.exchange.record.write_if_due(task)
         if trial.rejected:
             await self._withdraw(task)
         elif trial.ready_to_end(now):
             if monotonic() >= task.write_at:
-                await self.answers.write(task.trial, OrderState.DONE)
+                await self.order_status.write(task.trial, OrderState.DONE)
         elif order.state is OrderState.NEW and monotonic() >= task.write_at:
-            await self.answers.write(task.trial, OrderState.RUNNING)
-            # The next status, too, is left to others for a while.
+            await self.order_status.write(task.trial, OrderState.RUNNING)
+            # Again a random delay, so that another VM may write the next status first.
             spread = self.context.rng.random() * FIRST_WRITE_SPREAD
             done_in = order.seconds * (1.0 - trial.progress(now))
             task.write_at = monotonic() + min(spread, done_in / 10)
 
     async def _withdraw(self, task: TrialTask) -> None:
-        """Write that the version is bad; VMs that only heard so let others be first."""
+        """Write to the store that the version is withdrawn.
+
+        A VM that has only adopted this from others waits, so that they write it first.
+        """
         if task.found_bad or monotonic() >= task.write_at:
-            await self.answers.write(task.trial, OrderState.WITHDRAWN)
+            await self.order_status.write(task.trial, OrderState.WITHDRAWN)
