--- a/walnutquay/coordination/trials/sessions.py
+++ b/walnutquay/coordination/trials/sessions.py
@@ -33,8 +33,8 @@
 class SessionTracker:
     """Records which version served each session, and announces it if necessary.
 
-    This is necessary if a session is assigned to a version on trial, but the old version has
-    already served it.
+    This is necessary if a session is assigned to a version on trial, but the old
+    version has already served it.
 
     :param tasks: the trials, by service.
     :param peers: the other VMs.
