--- a/lab/capacity/processortime.py
+++ b/lab/capacity/processortime.py
@@ -27,7 +27,7 @@
 
 from lab.capacity.costvm import MODELS, NEW, ROUTE, SERVICE, CostVm, hall_of, vm_name
 from walnutquay.coordination.process.eventlog import EventLog
-from walnutquay.coordination.requests.places import Need
+from walnutquay.coordination.requests.slots import SlotRequest
 from walnutquay.coordination.routed.cascading import Cascading
 from walnutquay.coordination.routed.turn import RoutedTurn
 from walnutquay.logs import LineHandler
@@ -97,10 +97,10 @@
     return used.ru_utime + used.ru_stime
 
 
-def _need(vm: CostVm, turn: RoutedTurn) -> Need:
+def _need(vm: CostVm, turn: RoutedTurn) -> SlotRequest:
     arrival = turn.arrival
     choice = vm.versions.version_for(turn)
-    return Need(
+    return SlotRequest(
         arrival.request,
         arrival.organisation.name,
         1.0,
@@ -121,7 +121,7 @@
 
     async def place() -> None:
         placed = await vm.places.acquire(_need(vm, vm.turn()))
-        vm.places.began(placed.ok, 0.05)
+        vm.places.answer_began(placed.ok, 0.05)
         vm.places.release(placed.ok)
 
     async def larger() -> None:
@@ -216,7 +216,7 @@
         vm.peers.is_keeper("trials/o")
 
     async def opinions() -> None:
-        cascading.tell_peers()
+        cascading.send_gains()
 
     yield "whether it is a relay", watchers
     yield "whether it is a keeper", keeper
--- a/tests/coordination/trials/test_evaluation.py
+++ b/tests/coordination/trials/test_evaluation.py
@@ -21,7 +21,7 @@
     VersionName,
     VmName,
 )
-from walnutquay.state.requests.pace import MIN_SEEN
+from walnutquay.state.requests.durations import MIN_SAMPLES
 from walnutquay.state.store.instances import Instance
 from walnutquay.state.store.orders import OrderState, RolloutOrder
 from walnutquay.state.trials.baseline import BaselineTime, BaselineTimes, kind_hash
@@ -63,7 +63,7 @@
 
     def learn_baseline(self) -> None:
         """Let the old version answer enough requests for a baseline."""
-        for _ in range(MIN_SEEN):
+        for _ in range(MIN_SAMPLES):
             self.evaluator.answer_began(turn(), grant("v1", "old-1"), BASELINE)
 
     def counts(self, measure: Measure) -> tuple[int, int]:
@@ -89,7 +89,7 @@
         self.assertEqual(self.counts(Measure.FAILED), (1, 0))
 
     def test_a_received_baseline_is_enough(self):
-        row = BaselineTime(kind_hash(KIND), BASELINE, MIN_SEEN)
+        row = BaselineTime(kind_hash(KIND), BASELINE, MIN_SAMPLES)
         self.evaluator.baseline.receive(SERVICE, VmName("vm-2"), (row,))
         self.evaluator.sent(turn(), self.new)
         self.evaluator.answer_began(turn(), self.new, 5.0)
--- a/tests/coordination/trials/test_trialexchange.py
+++ b/tests/coordination/trials/test_trialexchange.py
@@ -30,7 +30,7 @@
     VmName,
 )
 from walnutquay.state.process.metrics import Metrics
-from walnutquay.state.requests.pace import MIN_SEEN
+from walnutquay.state.requests.durations import MIN_SAMPLES
 from walnutquay.state.store.orders import OrderState, RolloutOrder
 from walnutquay.state.trials.baseline import BaselineTime, BaselineTimes, kind_hash
 from walnutquay.state.trials.counts import Measure, TrialCounts
@@ -271,12 +271,12 @@
     KIND = "head/r/0"
 
     def test_rows_of_another_vm_are_used(self):
-        row = BaselineTime(kind_hash(self.KIND), 0.1, MIN_SEEN)
+        row = BaselineTime(kind_hash(self.KIND), 0.1, MIN_SAMPLES)
         self.receive(TrialReport("order", V2, (), usual=(row,)))
         self.assertAlmostEqual(self.baseline.ratio(SERVICE, self.KIND, 0.3), 3.0)
 
     def test_a_response_contains_all_rows(self):
-        row = BaselineTime(kind_hash(self.KIND), 0.1, MIN_SEEN)
+        row = BaselineTime(kind_hash(self.KIND), 0.1, MIN_SAMPLES)
         self.receive(TrialReport("order", V2, (), usual=(row,)))
         request = AskTrial(ORDER.name, V2)
         answer = self.exchange.answer(Envelope("vm-3", "inc", Stamp(1, 0), request))
--- a/walnutquay/daemon/metricsapi.py
+++ b/walnutquay/daemon/metricsapi.py
@@ -106,7 +106,7 @@
         yield from self._endpoints()
         yield from self._emptied()
         yield from self._crashes()
-        for service, budget in self.path.budgets.known.items():
+        for service, budget in self.path.budgets.by_service.items():
             yield f'{PREFIX}_retries_left{{service="{service}"}} {budget.left:.1f}'
         for service, task in self.versions.tasks.items():
             label = f'service="{service}",version="{task.trial.order.version}"'
@@ -127,7 +127,7 @@
         for arrival in self.path.under_way.values():
             assert isinstance(arrival, RoutedArrival)
             key = (arrival.organisation.name, arrival.route.name)
-            ages.setdefault(key, []).append(now - arrival.came)
+            ages.setdefault(key, []).append(now - arrival.arrived_at)
         for (organisation, route), waiting in sorted(ages.items()):
             label = f'organisation="{escaped(organisation)}",route="{escaped(route)}"'
             yield f"{PREFIX}_requests_waiting{{{label}}} {len(waiting)}"
@@ -136,7 +136,7 @@
     def _crashes(self) -> Iterator[str]:
         """Tell how many requests are held to end endpoints, or were there."""
         book = self.path.parts.crashes.book
-        yield f"{PREFIX}_requests_suspected {len(book.ends_of)}"
+        yield f"{PREFIX}_requests_suspected {len(book.crashes_by_request)}"
         for target, blocked in sorted(book.blocked.items()):
             label = f'service="{target.service}",version="{escaped(target.version)}"'
             yield f"{PREFIX}_requests_blocked{{{label}}} {len(blocked)}"
@@ -146,7 +146,7 @@
         book = self.knowledge.instances.book
         for hall in sorted(self.knowledge.halls.emptied.orders):
             running = sum(
-                self.path.parts.table.of(item.name).in_flight
+                self.path.parts.table.state_of(item.name).in_flight
                 for item in book.known.values()
                 if item.hall == hall
             )
@@ -156,14 +156,14 @@
         now = monotonic()
         states: Counter[tuple[str, str]] = Counter()
         for item in self.knowledge.instances.book.known.values():
-            facts = self.path.parts.table.of(item.name)
+            facts = self.path.parts.table.state_of(item.name)
             if item.leaving:
                 state = "leaving"
             elif item.hall in self.knowledge.halls.emptied:
                 state = "emptied"
             elif facts.ejected_until > now:
                 state = "ejected"
-            elif self.path.places.cold.is_bound(item, now):
+            elif self.path.admission.cold.is_limited(item, now):
                 state = "cold"
             else:
                 state = "ready"
