--- a/tests/coordination/trials/test_trialexchange.py
+++ b/tests/coordination/trials/test_trialexchange.py
@@ -118,15 +118,15 @@
     def test_a_decision_before_the_opening(self):
         self.task.schedule_announcements()
         opens = 1.0 - PRE_OPENING_SECONDS
-        found = [self.count_sent(at) for at in (0.1, opens + 0.01, 1.0, 1.25)]
-        self.assertEqual(found, [0, 1, 1, 0])
+        sent = [self.count_sent(at) for at in (0.1, opens + 0.01, 1.0, 1.25)]
+        self.assertEqual(sent, [0, 1, 1, 0])
 
     def test_a_later_decision_is_sent_at_once(self):
         self.now = 10.0
         self.task.schedule_announcements()
-        found = [self.count_sent(10.0 + 0.25 * number) for number in range(4)]
+        sent = [self.count_sent(10.0 + 0.25 * number) for number in range(4)]
         self.assertEqual(
-            found, [1] * DECISION_ANNOUNCEMENTS + [0] * (4 - DECISION_ANNOUNCEMENTS)
+            sent, [1] * DECISION_ANNOUNCEMENTS + [0] * (4 - DECISION_ANNOUNCEMENTS)
         )
 
     def test_counts_wait_for_the_next_period(self):
@@ -136,7 +136,7 @@
 
 
 class ReceivingTest(ExchangeCase):
-    """Reports are applied, or passed on if their order is not known."""
+    """Reports are applied; those on unknown orders are passed to a callback."""
 
     def test_counts_of_an_earlier_process_are_kept(self):
         # A VM that restarts begins to count at zero.  Its new counts must not replace
@@ -241,19 +241,19 @@
         super().__init__()
         self.size = 195
         self.relay = False
-        self.destinations: list[tuple[str, TrialNews]] = []
+        self.updates: list[tuple[str, TrialNews]] = []
 
     def tell_hall(self, hall: HallName, body: TrialNews) -> None:
         """Record an update to a data hall."""
-        self.destinations.append((hall, body))
+        self.updates.append((hall, body))
 
     def tell_other_halls(self, body: TrialNews) -> None:
         """Record an update to all VMs of the other halls."""
-        self.destinations.append(("others", body))
+        self.updates.append(("others", body))
 
     def tell_relays(self, body: TrialNews) -> None:
         """Record an update to the relays of the other halls."""
-        self.destinations.append(("relays", body))
+        self.updates.append(("relays", body))
 
     def is_relay(self) -> bool:
         """Return whether this VM is a relay."""
@@ -306,15 +306,13 @@
     def test_counts_are_sent_within_the_hall_only(self):
         self.task.trial.own.add(SUBJECT, True, "i-1")
         self.exchange.announce_if_due(self.task)
-        self.assertEqual(
-            [destination for destination, _ in self.peers.destinations], [HERE]
-        )
+        self.assertEqual([destination for destination, _ in self.peers.updates], [HERE])
 
     def test_decisions_are_sent_to_all_without_counts(self):
         self.task.trial.own.add(SUBJECT, True, "i-1")
         self.task.schedule_announcements()
         self.exchange.announce(self.task)
-        (here, near), (others, far) = self.peers.destinations
+        (here, near), (others, far) = self.peers.updates
         self.assertEqual((here, others), (HERE, "others"))
         self.assertEqual((bool(near.report.counts), far.report.counts), (True, ()))
 
@@ -323,11 +321,11 @@
         self.receive_from(f"{HERE}-2", TrialNews(self.make_report(3)))
         self.receive_from(f"{THERE}-1", TrialNews(self.make_report(5), THERE))
         self.task.trial.own.add(SUBJECT, True, "i-1")
-        self.peers.destinations.clear()
+        self.peers.updates.clear()
         self.exchange.announce_if_due(self.task)
         sent = [
             update
-            for destination, update in self.peers.destinations
+            for destination, update in self.peers.updates
             if destination == "relays"
         ]
         self.assertEqual([update.hall for update in sent], [HERE])
@@ -349,9 +347,7 @@
     def test_updates_of_another_hall_are_forwarded_once(self):
         for vm in (f"{THERE}-1", f"{THERE}-2", f"{HERE}-2"):
             self.receive_from(vm, TrialNews(self.make_report(5), THERE))
-        self.assertEqual(
-            [destination for destination, _ in self.peers.destinations], [HERE]
-        )
+        self.assertEqual([destination for destination, _ in self.peers.updates], [HERE])
 
     def test_counts_of_an_unknown_vm_are_ignored(self):
         self.receive_from("new-1", TrialNews(self.make_report(2)))
