--- a/lab/trials/fleet.py
+++ b/lab/trials/fleet.py
@@ -296,7 +296,7 @@
                 self.found.bytes_between_halls += size
             if self.rng.random() >= LOST_SHARE:
                 delay = self.rng.uniform(*DELAY_SECONDS)
-                self.after(delay, lambda vm=vm: vm.trials.exchange.hear(envelope))
+                self.after(delay, lambda vm=vm: vm.trials.exchange.receive(envelope))
 
     def ask(self, sender: VmName, body: Message) -> Message | None:
         """Ask some other VMs.
