--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -62,7 +62,7 @@
     ),
     Mutation(
         "a VM that starts learns from the others",
-        "coordination/fleet/starting.py",
+        "coordination/fleet/bootstrap.py",
         "if self.peers.is_seed:",
         "if True:",
         "tests.coordination.store.test_knowledge.StartingVmTest.test_without_any_call_for_a_list",
@@ -148,7 +148,7 @@
     Mutation(
         "ends of endpoints: VMs tell each other",
         "coordination/requests/crashnews.py",
-        "self.peers.tell_all(CrashNews(tuple(traces[first : first + BATCH_SIZE])))",
+        "self.peers.broadcast(CrashNews(tuple(traces[first : first + BATCH_SIZE])))",
         "pass",
         "tests.lab.test_crashfleet",
     ),
@@ -292,7 +292,7 @@
     Mutation(
         "list of VMs: any message of a later process shows that a VM is back",
         "daemon/gateway.py",
-        "self.dispatcher.listeners.append(self.vm_list.heard_from)",
+        "self.dispatcher.listeners.append(self.vm_list.detect_restart)",
         "pass",
         "tests.daemon.test_gateway.ReturnTest",
     ),
--- a/tests/coordination/routed/test_promptupdates.py
+++ b/tests/coordination/routed/test_promptupdates.py
@@ -39,8 +39,8 @@
         )
         self.relayed: list[tuple] = []
         peers = SimpleNamespace(
-            tell_users=lambda *sent: self.sent.append(sent),
-            pass_on_here=lambda *relayed: self.relayed.append(relayed),
+            send_to_users=lambda *sent: self.sent.append(sent),
+            relay_in_hall=lambda *relayed: self.relayed.append(relayed),
         )
         self.dispatcher = Dispatcher()
         PromptUpdates(admission, peers).listen(self.dispatcher)
--- a/tests/coordination/trials/test_trialexchange.py
+++ b/tests/coordination/trials/test_trialexchange.py
@@ -52,7 +52,7 @@
         self.sent: list[TrialReport] = []
         self.response: Message | Exception | None = None
 
-    def tell_all(self, body: TrialNews) -> None:
+    def broadcast(self, body: TrialNews) -> None:
         """Record an update to all VMs."""
         self.sent.append(body.report)
 
@@ -60,7 +60,7 @@
         """Return the data hall, which is the same for all VMs."""
         return HERE
 
-    async def ask_any(self, body: Message) -> Message | None:
+    async def query_any(self, body: Message) -> Message | None:
         """Return or raise the response that is set."""
         if isinstance(self.response, Exception):
             raise self.response
@@ -243,15 +243,15 @@
         self.relay = False
         self.updates: list[tuple[str, TrialNews]] = []
 
-    def tell_hall(self, hall: HallName, body: TrialNews) -> None:
+    def send_to_hall(self, hall: HallName, body: TrialNews) -> None:
         """Record an update to a data hall."""
         self.updates.append((hall, body))
 
-    def tell_other_halls(self, body: TrialNews) -> None:
+    def send_to_other_halls(self, body: TrialNews) -> None:
         """Record an update to all VMs of the other halls."""
         self.updates.append(("others", body))
 
-    def tell_relays(self, body: TrialNews) -> None:
+    def send_to_relays(self, body: TrialNews) -> None:
         """Record an update to the relays of the other halls."""
         self.updates.append(("relays", body))
 
--- a/tests/coordination/trials/test_trialrecord.py
+++ b/tests/coordination/trials/test_trialrecord.py
@@ -87,7 +87,7 @@
 
     def new_record(self, baseline: BaselineTimes) -> TrialRecord:
         """Return a VM's record with the shared store."""
-        writer_selector = SimpleNamespace(is_keeper=lambda key: self.is_writer)
+        writer_selector = SimpleNamespace(is_responsible_for=lambda key: self.is_writer)
         return TrialRecord(writer_selector, self.values, baseline, reads_store)
 
     def add_sluggish(self, bad: int) -> None:
@@ -223,10 +223,10 @@
         )
         response = TrialNews(TrialReport("o", VersionName("v2"), (), seen=seen))
 
-        async def ask_any(body):
+        async def query_any(body):
             return response
 
-        peers = SimpleNamespace(ask_any=ask_any, size=3)
+        peers = SimpleNamespace(query_any=query_any, size=3)
         exchange = TrialExchange(context, peers, {}, self.baseline, lambda report: None)
         exchange.record = self.record
         self.task.catching_up = True
--- a/tests/coordination/trials/test_versions.py
+++ b/tests/coordination/trials/test_versions.py
@@ -128,7 +128,7 @@
         timeline = SimpleNamespace(emit=lambda *args, **facts: None)
         self.context = SimpleNamespace(metrics=Metrics(), timeline=timeline)
         self.sent: list[Message] = []
-        peers = SimpleNamespace(size=3, tell_all=self.sent.append)
+        peers = SimpleNamespace(size=3, broadcast=self.sent.append)
         self.trials = VersionTrials(
             self.context, knowledge, None, peers, PromisesSection()
         )
--- a/walnutquay/coordination/own/billing.py
+++ b/walnutquay/coordination/own/billing.py
@@ -364,7 +364,7 @@
         now = monotonic()
         if self.members.table.state_of(member, now) is MemberState.ALIVE:
             return 0.0
-        return now - member.heard_at
+        return now - member.last_seen_at
 
     async def flush_for_dead(self) -> None:
         """Store what is kept for VMs that are gone.
--- a/walnutquay/coordination/requests/crashnews.py
+++ b/walnutquay/coordination/requests/crashnews.py
@@ -42,7 +42,7 @@
 class Peers(Protocol):
     """The other entry VMs."""
 
-    def tell_all(self, body: Message) -> None:
+    def broadcast(self, body: Message) -> None:
         """Send a message to all VMs; it may be lost.
 
         :param body: the message.
@@ -54,7 +54,7 @@
         :param body: the message.
         """
 
-    def is_keeper(self, key: str) -> bool:
+    def is_responsible_for(self, key: str) -> bool:
         """Return whether this VM is the one responsible for a key.
 
         :param key: the key of a task that exactly one VM performs.
@@ -123,7 +123,7 @@
             for recorded_at, trace in batch
         ]
         for first in range(0, len(traces), BATCH_SIZE):
-            self.peers.tell_all(CrashNews(tuple(traces[first : first + BATCH_SIZE])))
+            self.peers.broadcast(CrashNews(tuple(traces[first : first + BATCH_SIZE])))
 
     def receive(self, envelope: Envelope) -> None:
         """Apply the traces that another VM broadcast.
--- a/walnutquay/coordination/routed/promptupdates.py
+++ b/walnutquay/coordination/routed/promptupdates.py
@@ -19,14 +19,14 @@
 class Peers(Protocol):
     """The other entry VMs."""
 
-    def tell_users(self, hall: HallName, body: Message) -> None:
+    def send_to_users(self, hall: HallName, body: Message) -> None:
         """Send a message to the VMs that use a data hall; it may be lost.
 
         :param hall: the data hall.
         :param body: the message.
         """
 
-    def pass_on_here(self, vm: VmName, body: Message) -> None:
+    def relay_in_hall(self, vm: VmName, body: Message) -> None:
         """Relay a message to the VMs that use this data hall.
 
         :param vm: the VM that sent it.
@@ -62,7 +62,7 @@
             return
         work = pending.work
         rate = self.admission.work.rate(work.model)
-        self.peers.tell_users(
+        self.peers.send_to_users(
             pending.hall,
             WorkNews(pending.engine, pending.seconds, work.beginning, work.model, rate),
         )
@@ -74,4 +74,4 @@
         """
         assert isinstance(envelope.body, WorkNews)
         self.admission.apply_peer_prompt(envelope.body)
-        self.peers.pass_on_here(VmName(envelope.vm), envelope.body)
+        self.peers.relay_in_hall(VmName(envelope.vm), envelope.body)
--- a/walnutquay/coordination/trials/exchange.py
+++ b/walnutquay/coordination/trials/exchange.py
@@ -58,26 +58,26 @@
     def size(self) -> int:
         """The number of entry VMs, including this one."""
 
-    def tell_all(self, body: Message) -> None:
+    def broadcast(self, body: Message) -> None:
         """Send a message to all VMs; it may be lost.
 
         :param body: the message.
         """
 
-    def tell_hall(self, hall: HallName, body: Message) -> None:
+    def send_to_hall(self, hall: HallName, body: Message) -> None:
         """Send a message to all VMs of a data hall; it may be lost.
 
         :param hall: the data hall.
         :param body: the message.
         """
 
-    def tell_other_halls(self, body: Message) -> None:
+    def send_to_other_halls(self, body: Message) -> None:
         """Send a message to all VMs of the other data halls; it may be lost.
 
         :param body: the message.
         """
 
-    def tell_relays(self, body: Message) -> None:
+    def send_to_relays(self, body: Message) -> None:
         """Send a message to the relays of the other data halls; it may be lost.
 
         :param body: the message.
@@ -92,7 +92,7 @@
         :param vm: the VM.
         """
 
-    async def ask_any(self, body: Message) -> Message | None:
+    async def query_any(self, body: Message) -> Message | None:
         """Send a request to several VMs at once.
 
         :param body: the request.
@@ -177,14 +177,14 @@
         task.baseline_announced = bool(baseline_rows)
         report = replace(trial.report(now), usual=baseline_rows)
         if not self._uses_relays():
-            self.peers.tell_all(TrialNews(report))
+            self.peers.broadcast(TrialNews(report))
         else:
-            self.peers.tell_hall(self.context.hall, TrialNews(report))
+            self.peers.send_to_hall(self.context.hall, TrialNews(report))
             if decided:
                 # Decisions must not wait for relays, as other halls would move sessions
                 # in the meantime.
                 decisions = replace(report, counts=(), usual=())
-                self.peers.tell_other_halls(TrialNews(decisions))
+                self.peers.send_to_other_halls(TrialNews(decisions))
         self._log(task, trial.order.service, **outcome_fields(trial))
 
     def _relay(self, task: TrialTask, now: float) -> None:
@@ -195,7 +195,7 @@
         report = replace(task.trial.report_of_hall(now), usual=baseline_rows)
         if report.counts != task.relayed_counts:
             task.relayed_counts = report.counts
-            self.peers.tell_relays(TrialNews(report, self.context.hall))
+            self.peers.send_to_relays(TrialNews(report, self.context.hall))
 
     def _log(self, task: TrialTask, detail: str, **counts: int) -> None:
         """Log the state of a trial on this VM."""
@@ -257,7 +257,7 @@
             changed = trial.receive_from_hall(update.hall, update.report, now)
             # Two relays of that hall send the same report to two relays of this one.
             if changed and sender != here:
-                self.peers.tell_hall(here, update)
+                self.peers.send_to_hall(here, update)
         elif self._uses_relays() and sender != here:
             # The sender's counts arrive as part of its hall's combined counts.
             trial.receive_decisions(update.report, now)
@@ -301,7 +301,7 @@
         order = trial.order
         response = None
         try:
-            response = await self.peers.ask_any(AskTrial(order.name, order.version))
+            response = await self.peers.query_any(AskTrial(order.name, order.version))
             seen = response.report.seen if isinstance(response, TrialNews) else 0
             if not seen:
                 await self._recover(trial)
--- a/walnutquay/coordination/trials/record.py
+++ b/walnutquay/coordination/trials/record.py
@@ -57,7 +57,7 @@
 class WriterSelector(Protocol):
     """Selects the one VM that writes a record."""
 
-    def is_keeper(self, key: str) -> bool:
+    def is_responsible_for(self, key: str) -> bool:
         """Return whether this VM is the one that does the work for a key.
 
         :param key: the key.
@@ -141,7 +141,7 @@
         if (
             task.catching_up
             or not due
-            or not self.writer_selector.is_keeper(_value_name(order))
+            or not self.writer_selector.is_responsible_for(_value_name(order))
         ):
             return
         report = task.trial.report_of_all(now)
--- a/walnutquay/coordination/trials/sessions.py
+++ b/walnutquay/coordination/trials/sessions.py
@@ -125,7 +125,7 @@
     async def hand_over(self) -> None:
         """Send this VM's session records to another VM, as this one stops."""
         rows = tuple(self.records.recent(monotonic()))[:MAX_HANDED_OVER]
-        if rows and await self.peers.ask_any(SessionsSeen(rows)) is None:
+        if rows and await self.peers.query_any(SessionsSeen(rows)) is None:
             log.warn("could not hand over {} sessions: no VM responded", len(rows))
 
     def take_over(self, envelope: Envelope) -> SessionsTaken:
--- a/walnutquay/daemon/beliefs.py
+++ b/walnutquay/daemon/beliefs.py
@@ -25,7 +25,7 @@
                 "incarnation": member.news.incarnation,
                 "counter": member.news.counter,
                 "revision": member.news.revision,
-                "heard": now - member.heard_at,
+                "heard": now - member.last_seen_at,
             }
             for name, member in table.members.items()
         },
--- a/walnutquay/daemon/status.py
+++ b/walnutquay/daemon/status.py
@@ -46,7 +46,7 @@
             "incarnation": member.news.incarnation,
             "state": parts.members.table.state_of(member, now).value,
             "revision": member.news.revision,
-            "heard": round(now - member.heard_at, 3),
+            "heard": round(now - member.last_seen_at, 3),
             "listed": member.listed,
             "administration": f"{member.news.address.host}:"
             f"{member.news.administration}",
