--- a/lab/capacity/costvm.py
+++ b/lab/capacity/costvm.py
@@ -25,7 +25,7 @@
 from walnutquay.protocol.peer import PeerCodec
 from walnutquay.protocol.streams import StreamProgress
 from walnutquay.settings import PromisesSection
-from walnutquay.state.fleet.membership import Address, VmPlace
+from walnutquay.state.fleet.membership import Address, VmLocation
 from walnutquay.state.process.clock import Stamp
 from walnutquay.state.process.ids import (
     EndpointName,
@@ -164,7 +164,7 @@
         own = Address("10.1.0.1", 7340)
         peers = FleetPeers(self.context, self.node, own, [])
         peers.known = {
-            vm_name(number): VmPlace(
+            vm_name(number): VmLocation(
                 Address(f"10.1.0.{number + 1}", 7340), hall_of(number)
             )
             for number in range(vms)
--- a/lab/capacity/fakepeers.py
+++ b/lab/capacity/fakepeers.py
@@ -26,7 +26,7 @@
     HEARTBEAT_FANOUT,
     RUMOURS,
     Address,
-    MemberNews,
+    MemberUpdate,
     digest_of,
 )
 from walnutquay.state.own.tallies import TallyRow
@@ -99,8 +99,8 @@
     counter = 0
     share = min(1.0, HEARTBEAT_FANOUT / count)
 
-    def news(number: int) -> MemberNews:
-        return MemberNews(
+    def news(number: int) -> MemberUpdate:
+        return MemberUpdate(
             VmName(f"fake-{number:04d}"),
             INCARNATION,
             HallName(f"hall-{number % 4}"),
--- a/lab/capacity/processortime.py
+++ b/lab/capacity/processortime.py
@@ -187,7 +187,7 @@
         sealed = vm.sealed(4, body)
 
         async def send(body: m.Message = body) -> None:
-            vm.peers.tell_hall(hall, body)
+            vm.peers.send_to_hall(hall, body)
 
         async def read(sealed: bytes = sealed) -> None:
             vm.codec.decode(sealed)
@@ -213,7 +213,7 @@
         vm.peers.is_relay()
 
     async def keeper() -> None:
-        vm.peers.is_keeper("trials/o")
+        vm.peers.is_responsible_for("trials/o")
 
     async def opinions() -> None:
         cascading.tell_peers()
--- a/lab/capacity/restcost.py
+++ b/lab/capacity/restcost.py
@@ -18,7 +18,7 @@
 from standins.store import StoreStandIn
 from walnutquay.daemon.gateway import GatewayDaemon
 from walnutquay.settings import GatewayOptions, Settings
-from walnutquay.state.fleet.membership import Address, VmPlace
+from walnutquay.state.fleet.membership import Address, VmLocation
 from walnutquay.state.process.ids import HallName, VmName
 
 ANYWHERE = "127.0.0.1:0"
@@ -54,10 +54,10 @@
     daemons = [_vm(number, store) for number in range(running)]
     for daemon in daemons:
         await daemon.start()
-    known = {d.context.vm: VmPlace(d.peers.own, d.context.hall) for d in daemons}
+    known = {d.context.vm: VmLocation(d.peers.own, d.context.hall) for d in daemons}
     for number in range(running, vms):
         hall = HallName(f"hall-{1 + number % (HALLS - 1)}")
-        known[VmName(f"vm-{number}")] = VmPlace(ELSEWHERE, hall)
+        known[VmName(f"vm-{number}")] = VmLocation(ELSEWHERE, hall)
     for daemon in daemons:
         daemon.peers.known = dict(known)
     await asyncio.sleep(SETTLE_SECONDS)
--- a/lab/crashes/fleet.py
+++ b/lab/crashes/fleet.py
@@ -114,16 +114,16 @@
         self.fleet = fleet
         self.vm = vm
 
-    def tell_all(self, body: Message) -> None:
+    def broadcast(self, body: Message) -> None:
         """:param body: a message to all of them."""
         self.fleet.send(self.vm, self.fleet.vms, body)
 
-    def tell(self, body: Message) -> None:
+    def send_to_some(self, body: Message) -> None:
         """:param body: a message to some of them."""
         others = self.fleet.rng.sample(self.fleet.vms, min(12, len(self.fleet.vms)))
         self.fleet.send(self.vm, others, body)
 
-    def is_keeper(self, key: str) -> bool:
+    def is_responsible_for(self, key: str) -> bool:
         """:returns: whether this VM does what is done once for a name."""
         names = [watch.context.vm for watch in self.fleet.vms]
         return rendezvous(key, names)[0] == self.vm
--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -62,7 +62,7 @@
     ),
     Mutation(
         "a VM that starts learns from the others",
-        "coordination/fleet/starting.py",
+        "coordination/fleet/bootstrap.py",
         "if self.peers.is_seed:",
         "if True:",
         "tests.coordination.store.test_knowledge.StartingVmTest.test_without_any_call_for_a_list",
@@ -148,14 +148,14 @@
     Mutation(
         "ends of endpoints: VMs tell each other",
         "coordination/requests/crashnews.py",
-        "self.peers.tell_all(CrashNews(tuple(traces[first : first + TRACES_TOLD])))",
+        "self.peers.broadcast(CrashNews(tuple(traces[first : first + TRACES_TOLD])))",
         "pass",
         "tests.lab.test_crashfleet",
     ),
     Mutation(
         "ends of endpoints: a VM that heard nothing compares",
         "coordination/requests/crashnews.py",
-        "self.peers.tell(CrashDigest(self.book.digest()))",
+        "self.peers.send_to_some(CrashDigest(self.book.digest()))",
         "pass",
         "tests.coordination.requests.test_crashes.LateVmTest.test_one_that_heard_nothing_while_it_was_cut_off",
     ),
@@ -291,7 +291,7 @@
     Mutation(
         "list of VMs: any message of a later process shows that a VM is back",
         "daemon/gateway.py",
-        "self.dispatcher.listeners.append(self.vm_list.heard_from)",
+        "self.dispatcher.listeners.append(self.vm_list.detect_restart)",
         "pass",
         "tests.daemon.test_gateway.ReturnTest",
     ),
--- a/lab/trials/ports.py
+++ b/lab/trials/ports.py
@@ -71,23 +71,23 @@
         """How many VMs there are."""
         return self.fleet.size
 
-    def tell_all(self, body: Message) -> None:
+    def broadcast(self, body: Message) -> None:
         """:param body: a message to all of them."""
         self.fleet.send(self.vm, body)
 
-    def tell_hall(self, hall: HallName, body: Message) -> None:
+    def send_to_hall(self, hall: HallName, body: Message) -> None:
         """:param hall: a data hall.
 
         :param body: a message to its VMs.
         """
         self.fleet.send(self.vm, body, lambda vm: vm.hall == hall)
 
-    def tell_other_halls(self, body: Message) -> None:
+    def send_to_other_halls(self, body: Message) -> None:
         """:param body: a message to the VMs of the other data halls."""
         own = self.hall_of(self.vm)
         self.fleet.send(self.vm, body, lambda vm: vm.hall != own)
 
-    def tell_relays(self, body: Message) -> None:
+    def send_to_relays(self, body: Message) -> None:
         """:param body: a message to the relays of the other data halls."""
         own = self.hall_of(self.vm)
         relays = self._relays()
@@ -110,7 +110,7 @@
             found.update(rendezvous(RELAY_DUTY, names)[:RELAYS])
         return found
 
-    async def ask_any(self, body: Message) -> Message | None:
+    async def query_any(self, body: Message) -> Message | None:
         """:param body: a question.
 
         :returns: the first answer, or None.
--- a/tests/coordination/fleet/test_absentees.py
+++ b/tests/coordination/fleet/test_absentees.py
@@ -14,12 +14,12 @@
     ABSENT_SECONDS,
     CHECK_SECONDS,
     CHECKERS,
-    Absentees,
+    AbsenceMonitor,
 )
 from walnutquay.coordination.fleet.peers import FleetPeers
 from walnutquay.exceptions import PeerError, PlatformUnavailableError
 from walnutquay.protocol.messages import VmsAre
-from walnutquay.state.fleet.membership import Address, VmPlace
+from walnutquay.state.fleet.membership import Address, VmLocation
 from walnutquay.state.process.ids import HallName, VmName
 from walnutquay.state.process.metrics import Metrics
 
@@ -66,10 +66,10 @@
         """:returns: a VM's name."""
         return VmName(f"vm-{number}")
 
-    def place(self, number: int) -> VmPlace:
+    def place(self, number: int) -> VmLocation:
         """:returns: where a VM is."""
         hall = HallName(f"hall-{number % HALLS}")
-        return VmPlace(Address(f"10.0.0.{number}", PORT), hall)
+        return VmLocation(Address(f"10.0.0.{number}", PORT), hall)
 
     async def leave(self, vm: VmName) -> None:
         """As the register's."""
@@ -77,7 +77,7 @@
             raise PlatformUnavailableError("away", step="delete", peer="store")
         self.rows.pop(vm, None)
 
-    def start(self, number: int) -> Absentees:
+    def start(self, number: int) -> AbsenceMonitor:
         """:returns: what a VM does."""
         place = self.place(number)
         context = SimpleNamespace(
@@ -89,7 +89,7 @@
         )
         node = self.network.node_of(place.address)
         peers = FleetPeers(context, node, place.address, [])
-        return Absentees(context, peers, SimpleNamespace(leave=self.leave))
+        return AbsenceMonitor(context, peers, SimpleNamespace(leave=self.leave))
 
     def lose(self, *numbers: int) -> None:
         """Let VMs lose their power, or be cut off."""
--- a/tests/coordination/fleet/test_fleetpeers.py
+++ b/tests/coordination/fleet/test_fleetpeers.py
@@ -16,7 +16,7 @@
     FleetPeers,
 )
 from walnutquay.protocol.messages import AskStart
-from walnutquay.state.fleet.membership import Address, VmPlace
+from walnutquay.state.fleet.membership import Address, VmLocation
 from walnutquay.state.process.ids import HallName, VmName
 
 HALLS = [HallName(f"hall-{number}") for number in range(5)]
@@ -40,7 +40,7 @@
     context = SimpleNamespace(vm=VmName("vm-0"), hall=HERE, rng=random.Random(1))
     made = FleetPeers(context, FakeNode(), Address("10.0.0.0", 1), [])
     made.known = {
-        VmName(f"vm-{number}"): VmPlace(
+        VmName(f"vm-{number}"): VmLocation(
             Address(f"10.0.0.{number}", 1), HALLS[number % len(HALLS)]
         )
         for number in range(vms)
@@ -59,18 +59,18 @@
         return [places[address] for address in made.node.sent]
 
     def test_all_of_a_small_fleet(self):
-        for tell in (
-            lambda made: made.tell(BODY),
-            lambda made: made.tell_users(THERE, BODY),
-            lambda made: made.tell_all(BODY),
+        for send_to_some in (
+            lambda made: made.send_to_some(BODY),
+            lambda made: made.send_to_users(THERE, BODY),
+            lambda made: made.broadcast(BODY),
         ):
             made = peers(TOLD + 1)
-            tell(made)
+            send_to_some(made)
             self.assertEqual(len(self.halls_told(made)), TOLD)
 
     def test_some_of_a_large_one_mostly_of_this_hall(self):
         made = peers(195)
-        made.tell(BODY)
+        made.send_to_some(BODY)
         halls = self.halls_told(made)
         self.assertEqual(len(halls), TOLD)
         self.assertEqual(len(halls) - halls.count(HERE), TOLD_FAR)
@@ -78,7 +78,7 @@
     def test_the_vms_of_one_hall(self):
         for hall, others in ((HERE, 38), (THERE, 39)):
             made = peers(195)
-            made.tell_hall(hall, BODY)
+            made.send_to_hall(hall, BODY)
             self.assertEqual(self.halls_told(made), [hall] * others)
 
     def told_users(self, vms: int, hall: HallName) -> tuple[set[Address], int]:
@@ -88,7 +88,7 @@
         """
         made = peers(vms)
         places = {place.address: vm for vm, place in made.known.items()}
-        made.tell_users(hall, BODY)
+        made.send_to_users(hall, BODY)
         heard = set(made.node.sent)
         crossed = sum(made.known[places[one]].hall != HERE for one in heard)
         for address in list(heard):
@@ -97,7 +97,7 @@
             there.context = SimpleNamespace(
                 vm=vm, hall=there.known[vm].hall, rng=random.Random(1)
             )
-            there.pass_on_here(VmName("vm-0"), BODY)
+            there.relay_in_hall(VmName("vm-0"), BODY)
             self.assertLessEqual(
                 {there.known[places[one]].hall for one in there.node.sent}, {hall}
             )
@@ -116,18 +116,18 @@
 
     def test_a_small_fleet_passes_nothing_on(self):
         made = peers(TOLD + 1)
-        made.pass_on_here(VmName("vm-3"), BODY)
+        made.relay_in_hall(VmName("vm-3"), BODY)
         self.assertEqual(made.node.sent, [])
 
     def test_the_other_halls(self):
         made = peers(195)
-        made.tell_other_halls(BODY)
+        made.send_to_other_halls(BODY)
         halls = self.halls_told(made)
         self.assertEqual((len(halls), halls.count(HERE)), (156, 0))
 
     def test_relays(self):
         made = peers(195)
-        made.tell_relays(BODY)
+        made.send_to_relays(BODY)
         halls = self.halls_told(made)
         self.assertEqual(sorted(halls), sorted(HALLS[1:] * RELAYS))
         # Each VM of a hall takes the same ones for its relays.
--- a/tests/coordination/fleet/test_vmlist.py
+++ b/tests/coordination/fleet/test_vmlist.py
@@ -11,13 +11,13 @@
 from unittest import mock
 
 from walnutquay.coordination.fleet import vmlist
+from walnutquay.coordination.fleet.bootstrap import Bootstrap
 from walnutquay.coordination.fleet.peers import RELAYS, FleetPeers
-from walnutquay.coordination.fleet.starting import StartingKnowledge
 from walnutquay.coordination.fleet.vmlist import VmList
 from walnutquay.coordination.fleet.watchers import Watchers
 from walnutquay.exceptions import PeerError, PlatformUnavailableError
 from walnutquay.protocol.messages import AskStart, Envelope, KnownList, VmNews, VmRow
-from walnutquay.state.fleet.membership import Address, VmPlace
+from walnutquay.state.fleet.membership import Address, VmLocation
 from walnutquay.state.process.clock import Stamp
 from walnutquay.state.process.ids import HallName, VmName
 from walnutquay.state.process.metrics import Metrics
@@ -38,12 +38,12 @@
     """The list in the store; counts calls."""
 
     def __init__(self) -> None:
-        self.rows: dict[VmName, VmPlace] = {}
+        self.rows: dict[VmName, VmLocation] = {}
         self.writes = 0
         self.reads = 0
         self.away = False
 
-    async def enter(self, vm: VmName, place: VmPlace) -> None:
+    async def enter(self, vm: VmName, place: VmLocation) -> None:
         """As the real one."""
         self._call()
         self.writes += 1
@@ -54,7 +54,7 @@
         self._call()
         self.rows.pop(vm, None)
 
-    async def read(self) -> dict[VmName, VmPlace]:
+    async def read(self) -> dict[VmName, VmLocation]:
         """As the real one."""
         self._call()
         self.reads += 1
@@ -111,8 +111,8 @@
                 continue
             self.network.far += receiver.context.hall != own
             message = envelope(body, self.vm, self.incarnation)
-            receiver.heard_from(message)
-            receiver.hear(message)
+            receiver.detect_restart(message)
+            receiver.receive(message)
 
 
 def envelope(body, vm: str = "vm", incarnation: str = "first") -> Envelope:
@@ -120,9 +120,9 @@
     return Envelope(vm, incarnation, Stamp(1, 0), body)
 
 
-def place_of(number: int) -> VmPlace:
+def place_of(number: int) -> VmLocation:
     """:returns: where a VM is."""
-    return VmPlace(
+    return VmLocation(
         Address(f"10.0.0.{number}", PORT), HallName(f"hall-{number % HALLS}")
     )
 
@@ -170,7 +170,7 @@
         node = self.network.sender(context.vm, context.incarnation)
         peers = FleetPeers(context, node, place.address, seeds)
         watchers = Watchers(context, peers)
-        starting = StartingKnowledge(context, peers, lambda: LISTS, first_start)
+        starting = Bootstrap(context, peers, lambda: LISTS, first_start)
         made = VmList(context, peers, self.register, watchers, starting, first_start)
         self.network.up[place.address] = made
         self.lists.append(made)
@@ -279,30 +279,30 @@
     async def test_one_that_left_is_not_brought_back_by_an_older_list(self):
         made = self.start(0)
         row = VmRow(name_of(1), place_of(1))
-        made.take({name_of(0): place_of(0), row.vm: row.place})
-        made.hear(envelope(VmNews(row, leaving=True, incarnation="first")))
+        made.apply({name_of(0): place_of(0), row.vm: row.place})
+        made.receive(envelope(VmNews(row, leaving=True, incarnation="first")))
         self.assertNotIn(row.vm, made.peers.known)
-        made.take({name_of(0): place_of(0), row.vm: row.place})
+        made.apply({name_of(0): place_of(0), row.vm: row.place})
         self.assertNotIn(row.vm, made.peers.known)
 
     async def test_any_message_of_a_later_start_tells_that_one_is_back(self):
         made = self.start(0)
         row = VmRow(name_of(1), place_of(1))
-        made.take({name_of(0): place_of(0), row.vm: row.place})
+        made.apply({name_of(0): place_of(0), row.vm: row.place})
         # It comes by way of a relay, whose process is another one.
         left = VmNews(row, leaving=True, incarnation="first")
-        made.hear(envelope(left, name_of(2), "relay"))
-        made.heard_from(envelope(AskStart(), row.vm, "first"))
+        made.receive(envelope(left, name_of(2), "relay"))
+        made.detect_restart(envelope(AskStart(), row.vm, "first"))
         self.assertNotIn(row.vm, made.peers.known)
-        made.heard_from(envelope(AskStart(), row.vm, "second"))
+        made.detect_restart(envelope(AskStart(), row.vm, "second"))
         self.assertEqual(made.peers.known[row.vm], row.place)
 
     async def test_one_that_came_is_not_lost_by_an_older_list(self):
         made = self.start(0)
         row = VmRow(name_of(1), place_of(1))
-        made.take({name_of(0): place_of(0)})
-        made.hear(envelope(VmNews(row)))
-        made.take({name_of(0): place_of(0)})
+        made.apply({name_of(0): place_of(0)})
+        made.receive(envelope(VmNews(row)))
+        made.apply({name_of(0): place_of(0)})
         self.assertIn(row.vm, made.peers.known)
 
     async def test_an_entry_that_was_lost_is_written_again(self):
--- a/tests/coordination/own/test_billing.py
+++ b/tests/coordination/own/test_billing.py
@@ -22,7 +22,7 @@
 )
 from walnutquay.platform.values import Stored
 from walnutquay.protocol.messages import Envelope
-from walnutquay.state.fleet.membership import Address, MemberNews, MemberTable
+from walnutquay.state.fleet.membership import Address, MemberTable, MemberUpdate
 from walnutquay.state.own.bills import BillRecord, decode_records
 from walnutquay.state.process.clock import Stamp
 from walnutquay.state.process.events import EventKind
@@ -96,7 +96,7 @@
         """Add a VM's current incarnation to the member tables of all others."""
         for other, billing in self.billing.items():
             if other != name:
-                news = MemberNews(
+                news = MemberUpdate(
                     VmName(name),
                     self.billing[name].context.incarnation,
                     HallName(name),
@@ -105,7 +105,7 @@
                     leaving=leaving,
                     address=Address("127.0.0.1", 1),
                 )
-                billing.members.table.hear(news, monotonic())
+                billing.members.table.receive(news, monotonic())
 
     def kill(self, name: str) -> None:
         """Stop a VM and remove it from the member tables of all others."""
--- a/tests/coordination/requests/test_crashes.py
+++ b/tests/coordination/requests/test_crashes.py
@@ -12,7 +12,7 @@
 from walnutquay.commands.fleetstate import concerns, read_figures, state_of
 from walnutquay.coordination.requests.limits import STEP_ENDED
 from walnutquay.daemon.gateway import GatewayDaemon
-from walnutquay.state.fleet.membership import VmPlace
+from walnutquay.state.fleet.membership import VmLocation
 from walnutquay.state.process.events import EventKind
 from walnutquay.state.requests import crashes
 from walnutquay.state.requests.attribution import CRASHES_TO_BLOCK
@@ -261,7 +261,7 @@
         await self.until(lambda: not telling.running)
         self.assertFalse(self.book_of(second).blocked)
         for one, other in ((self.gateway, second), (second, self.gateway)):
-            place = VmPlace(other.peers.own, other.context.hall)
+            place = VmLocation(other.peers.own, other.context.hall)
             one.peers.known = {**one.peers.known, other.context.vm: place}
         await self.until(lambda: bool(self.book_of(second).blocked))
         self.assertEqual((await self.stream(CRASHING, second)).status, 500)
--- a/tests/coordination/requests/test_crashnews.py
+++ b/tests/coordination/requests/test_crashnews.py
@@ -37,7 +37,7 @@
     def __init__(self) -> None:
         self.told: list[Message] = []
 
-    def tell_all(self, body: Message) -> None:
+    def broadcast(self, body: Message) -> None:
         """:param body: a message to all of them."""
         self.told.append(body)
 
--- a/tests/coordination/routed/test_worknews.py
+++ b/tests/coordination/routed/test_worknews.py
@@ -37,8 +37,8 @@
         )
         self.passed: list[tuple] = []
         peers = SimpleNamespace(
-            tell_users=lambda *told: self.told.append(told),
-            pass_on_here=lambda *passed: self.passed.append(passed),
+            send_to_users=lambda *told: self.told.append(told),
+            relay_in_hall=lambda *passed: self.passed.append(passed),
         )
         self.dispatcher = Dispatcher()
         WorkExchange(places, peers).listen(self.dispatcher)
--- a/tests/coordination/store/test_knowledge.py
+++ b/tests/coordination/store/test_knowledge.py
@@ -7,7 +7,7 @@
 import unittest
 
 from tests.gatewaycase import KEY, GatewayCase, catalogue
-from walnutquay.state.fleet.membership import VmPlace
+from walnutquay.state.fleet.membership import VmLocation
 from walnutquay.state.process.ids import (
     EndpointName,
     HallName,
@@ -95,7 +95,7 @@
     async def test_a_new_configuration(self):
         second = await self.add_gateway("vm-2")
         first = self.gateway
-        place = VmPlace(first.peers.own, first.context.hall)
+        place = VmLocation(first.peers.own, first.context.hall)
         second.peers.known = {first.context.vm: place}
         # From now on the store does not answer the second VM.
         second.store.base = "http://127.0.0.1:9/v1/objects"
--- a/tests/coordination/store/test_relaying.py
+++ b/tests/coordination/store/test_relaying.py
@@ -22,7 +22,7 @@
 from walnutquay.platform.feeds import KEPT_BATCHES, Batch, Feed
 from walnutquay.platform.store import WATCH_SLACK_SECONDS, StoredEvent, StoredObject
 from walnutquay.protocol.messages import ChangesAre
-from walnutquay.state.fleet.membership import Address, VmPlace
+from walnutquay.state.fleet.membership import Address, VmLocation
 from walnutquay.state.process.ids import HallName, VmName
 from walnutquay.state.process.metrics import Metrics
 
@@ -32,10 +32,10 @@
 WATCHERS = 1
 
 
-def fleet(count: int = PER_HALL) -> dict[VmName, VmPlace]:
+def fleet(count: int = PER_HALL) -> dict[VmName, VmLocation]:
     """:returns: so many VMs in each data hall."""
     return {
-        VmName(f"{hall}-{number}"): VmPlace(Address(hall, number), HallName(hall))
+        VmName(f"{hall}-{number}"): VmLocation(Address(hall, number), HallName(hall))
         for hall in HALLS
         for number in range(count)
     }
@@ -56,7 +56,7 @@
         return self.answers[address]
 
 
-def watchers(vm: str, known: dict[VmName, VmPlace]) -> Watchers:
+def watchers(vm: str, known: dict[VmName, VmLocation]) -> Watchers:
     """:returns: the watchers as one VM sees them."""
     context = SimpleNamespace(
         vm=VmName(vm),
@@ -71,7 +71,7 @@
 class WatchersTest(unittest.IsolatedAsyncioTestCase):
     """Who watches, and who is asked."""
 
-    def watching(self, known: dict[VmName, VmPlace]) -> list[VmName]:
+    def watching(self, known: dict[VmName, VmLocation]) -> list[VmName]:
         """:returns: the VMs that take themselves for watchers."""
         return [vm for vm in known if watchers(vm, known).includes_this()]
 
@@ -86,7 +86,7 @@
                 in_hall = [vm for vm in found if vm.startswith(hall)]
                 self.assertEqual(len(in_hall), WATCHERS)
 
-    def follower(self) -> tuple[Watchers, list[VmName], dict[VmName, VmPlace]]:
+    def follower(self) -> tuple[Watchers, list[VmName], dict[VmName, VmLocation]]:
         """:returns: a VM that does not watch, the watchers of its hall, the fleet."""
         known = fleet()
         near = [vm for vm in self.watching(known) if vm.startswith("h1")]
@@ -99,10 +99,10 @@
         for vm, place in known.items():
             if vm not in near:
                 node.answers[place.address] = ChangesAre(direct=vm.startswith("h2"))
-        await found.ask("servers", 1, 0.0)
+        await found.query("servers", 1, 0.0)
         self.assertEqual(set(node.asked[:WATCHERS]), set(near))
         node.asked.clear()
-        await found.ask("servers", 1, 0.0)
+        await found.query("servers", 1, 0.0)
         self.assertFalse(set(node.asked) & set(near))
 
     async def test_one_that_the_store_serves_is_believed(self):
@@ -110,7 +110,7 @@
         node = found.peers.node
         for vm, place in known.items():
             node.answers[place.address] = ChangesAre(failing=vm.startswith("h1"))
-        answer = await found.ask("servers", 1, 0.0)
+        answer = await found.query("servers", 1, 0.0)
         self.assertFalse(answer.failing)
         self.assertEqual(len(node.asked), WATCHERS + 1)
 
@@ -121,19 +121,19 @@
             for vm, place in known.items():
                 lacks = not vm.startswith(served)
                 node.answers[place.address] = ChangesAre(failing=lacks)
-            answer = await found.ask("servers", 1, 0.0)
+            answer = await found.query("servers", 1, 0.0)
             self.assertFalse(answer.failing, served)
 
     async def test_after_silence_not_all_halls_are_waited_for(self):
         found, near, _ = self.follower()
-        self.assertIsNone(await found.ask("servers", 1, 0.0))
+        self.assertIsNone(await found.query("servers", 1, 0.0))
         self.assertEqual(len(found.peers.node.asked), len(near) + 1)
 
     async def test_one_that_hears_from_others_only_is_no_source(self):
         found, _, known = self.follower()
         for place in known.values():
             found.peers.node.answers[place.address] = ChangesAre(direct=False)
-        self.assertIsNone(await found.ask("servers", 1, 0.0))
+        self.assertIsNone(await found.query("servers", 1, 0.0))
 
 
 class ExportTest(unittest.TestCase):
@@ -188,7 +188,7 @@
             async def wait_for_vms(self) -> None:
                 return
 
-            async def ask(self, kind, revision, seconds) -> ChangesAre:
+            async def query(self, kind, revision, seconds) -> ChangesAre:
                 return ChangesAre(b"gone", returned=returned)
 
         feed = RelayedFeed(
@@ -214,7 +214,7 @@
         for name in ("vm-2", "vm-3"):
             await self.add_gateway(name)
         known = {
-            gateway.context.vm: VmPlace(gateway.peers.own, gateway.context.hall)
+            gateway.context.vm: VmLocation(gateway.peers.own, gateway.context.hall)
             for gateway in self.gateways
         }
         for gateway in self.gateways:
@@ -263,15 +263,15 @@
 
     async def test_where_only_its_watcher_was_cut_off_a_deletion_counts(self):
         source = self.follower.knowledge.instance_follower.feed.watchers
-        answered = source.ask
+        answered = source.query
         cut = True
 
-        async def ask(kind, revision, seconds):
+        async def query(kind, revision, seconds):
             if cut:
                 return ChangesAre(failing=True)
             return await answered(kind, revision, seconds)
 
-        source.ask = ask
+        source.query = query
         knowledge = self.follower.knowledge
         await self.until(lambda: knowledge.instance_follower.failing_since is not None)
         await self.store.remove("servers", "p1")
--- a/tests/coordination/trials/test_trialnews.py
+++ b/tests/coordination/trials/test_trialnews.py
@@ -52,7 +52,7 @@
         self.told: list[TrialReport] = []
         self.answer: Message | Exception | None = None
 
-    def tell_all(self, body: TrialNews) -> None:
+    def broadcast(self, body: TrialNews) -> None:
         """:param body: what they are told."""
         self.told.append(body.report)
 
@@ -60,7 +60,7 @@
         """:returns: the data hall of each VM."""
         return HERE
 
-    async def ask_any(self, body: Message) -> Message | None:
+    async def query_any(self, body: Message) -> Message | None:
         """:returns: the answer that is set."""
         if isinstance(self.answer, Exception):
             raise self.answer
@@ -237,15 +237,15 @@
         self.relay = False
         self.to: list[tuple[str, TrialNews]] = []
 
-    def tell_hall(self, hall: HallName, body: TrialNews) -> None:
+    def send_to_hall(self, hall: HallName, body: TrialNews) -> None:
         """:param hall: the data hall that is told."""
         self.to.append((hall, body))
 
-    def tell_other_halls(self, body: TrialNews) -> None:
+    def send_to_other_halls(self, body: TrialNews) -> None:
         """:param body: what all VMs of the other halls are told."""
         self.to.append(("others", body))
 
-    def tell_relays(self, body: TrialNews) -> None:
+    def send_to_relays(self, body: TrialNews) -> None:
         """:param body: what the relays of the other halls are told."""
         self.to.append(("relays", body))
 
--- a/tests/coordination/trials/test_trialrecord.py
+++ b/tests/coordination/trials/test_trialrecord.py
@@ -87,7 +87,7 @@
 
     def new_record(self, usual: BaselineTimes) -> TrialRecord:
         """:returns: the record as a VM knows it."""
-        keepers = SimpleNamespace(is_keeper=lambda key: self.keeps)
+        keepers = SimpleNamespace(is_responsible_for=lambda key: self.keeps)
         return TrialRecord(keepers, self.values, usual, yes)
 
     def see(self, bad: int) -> None:
@@ -222,10 +222,10 @@
         )
         told = TrialNews(TrialReport("o", VersionName("v2"), (), seen=seen))
 
-        async def ask_any(body):
+        async def query_any(body):
             return told
 
-        peers = SimpleNamespace(ask_any=ask_any, size=3)
+        peers = SimpleNamespace(query_any=query_any, size=3)
         exchange = TrialExchange(context, peers, {}, self.usual, lambda report: None)
         exchange.record = self.record
         self.task.asking = True
--- a/tests/coordination/trials/test_versions.py
+++ b/tests/coordination/trials/test_versions.py
@@ -128,7 +128,7 @@
         timeline = SimpleNamespace(emit=lambda *args, **facts: None)
         self.context = SimpleNamespace(metrics=Metrics(), timeline=timeline)
         self.told: list[Message] = []
-        peers = SimpleNamespace(size=3, tell_all=self.told.append)
+        peers = SimpleNamespace(size=3, broadcast=self.told.append)
         self.trials = VersionTrials(
             self.context, knowledge, None, peers, PromisesSection()
         )
--- a/tests/daemon/test_gateway.py
+++ b/tests/daemon/test_gateway.py
@@ -9,7 +9,7 @@
 from standins.worker import Behaviour
 from tests.gatewaycase import WAIT_SECONDS, GatewayCase, catalogue
 from walnutquay.protocol.messages import CrashDigest, Envelope, VmNews, VmRow
-from walnutquay.state.fleet.membership import VmPlace
+from walnutquay.state.fleet.membership import VmLocation
 from walnutquay.state.process.clock import Stamp
 
 
@@ -54,10 +54,10 @@
             Envelope("vm-3", "its own", Stamp(1, 0), left)
         )
         self.assertNotIn(name, self.gateway.peers.known)
-        second.peers.known[self.gateway.context.vm] = VmPlace(
+        second.peers.known[self.gateway.context.vm] = VmLocation(
             self.gateway.peers.own, self.gateway.context.hall
         )
-        second.peers.tell_all(CrashDigest(0))
+        second.peers.broadcast(CrashDigest(0))
         await self.until(lambda: name in self.gateway.peers.known)
 
 
--- a/tests/gatewaycase.py
+++ b/tests/gatewaycase.py
@@ -17,7 +17,7 @@
 from standins.worker import WorkerStandIn
 from walnutquay.daemon.gateway import GatewayDaemon
 from walnutquay.settings import GatewayOptions, Settings
-from walnutquay.state.fleet.membership import VmPlace
+from walnutquay.state.fleet.membership import VmLocation
 
 HOST = "app.example"
 KEY = "key-of-org-a"
@@ -140,11 +140,11 @@
         )
         gateway = GatewayDaemon(Settings(options, {}))
         for peer in peers:
-            place = VmPlace(peer.peers.own, peer.context.hall)
+            place = VmLocation(peer.peers.own, peer.context.hall)
             gateway.peers.known = {**gateway.peers.known, peer.context.vm: place}
         await gateway.start()
         for peer in peers:
-            place = VmPlace(gateway.peers.own, gateway.context.hall)
+            place = VmLocation(gateway.peers.own, gateway.context.hall)
             peer.peers.known = {**peer.peers.known, gateway.context.vm: place}
         self.gateways.append(gateway)
         self.addAsyncCleanup(self.close_gateway, gateway)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -21,7 +21,7 @@
 from walnutquay.platform.feeds import instance_feed
 from walnutquay.platform.registers import StoredOrders, VmRegister
 from walnutquay.platform.store import StoreClient
-from walnutquay.state.fleet.membership import Address, VmPlace
+from walnutquay.state.fleet.membership import Address, VmLocation
 from walnutquay.state.process.ids import HallName, VmName
 from walnutquay.state.store.orders import OrderState
 
@@ -37,9 +37,9 @@
 }
 
 
-def place(port: int) -> VmPlace:
+def place(port: int) -> VmLocation:
     """:returns: where a VM is that listens at a port."""
-    return VmPlace(Address("127.0.0.1", port), HallName("h"))
+    return VmLocation(Address("127.0.0.1", port), HallName("h"))
 
 
 class StoreCase(unittest.IsolatedAsyncioTestCase):
--- a/tests/state/fleet/test_membership.py
+++ b/tests/state/fleet/test_membership.py
@@ -12,8 +12,8 @@
     SILENT_SECONDS,
     Address,
     Distance,
-    MemberNews,
     MemberTable,
+    MemberUpdate,
     digest_of,
     distance,
     rendezvous,
@@ -24,7 +24,7 @@
 DEAD = "vm-0"
 
 
-def news(name: str, counter: int = 1, incarnation: str = "1", **more) -> MemberNews:
+def news(name: str, counter: int = 1, incarnation: str = "1", **more) -> MemberUpdate:
     """:returns: news of a VM."""
     fields = {
         "hall": "h",
@@ -33,7 +33,7 @@
         "address": Address("127.0.0.1", 1),
         **more,
     }
-    return MemberNews(vm=name, incarnation=incarnation, counter=counter, **fields)
+    return MemberUpdate(vm=name, incarnation=incarnation, counter=counter, **fields)
 
 
 # what is heard of vm-b at times 0, 1, 2 ... -> its state at time 5, its counter
@@ -61,38 +61,38 @@
             with self.subTest(heard=heard):
                 table = self.table()
                 for at, item in enumerate(heard):
-                    table.hear(item, float(at))
+                    table.receive(item, float(at))
                 member = table.members["vm-b"]
                 self.assertEqual(table.state_of(member, 5.0), state)
                 self.assertEqual(member.counter, counter)
 
     def test_a_digest_keeps_a_member_alive_and_news_still_count(self):
         table = self.table()
-        table.hear(news("vm-b", 1), 0.0)
+        table.receive(news("vm-b", 1), 0.0)
         digest = digest_of("vm-b", "1") << 32 | 7
-        table.hear_digests([digest, 12345], 4.0)
+        table.receive_digests([digest, 12345], 4.0)
         member = table.members["vm-b"]
         self.assertIs(table.state_of(member, 5.0), MemberState.ALIVE)
         # Heartbeat 5 was overtaken by the digest, its revision was not.
-        self.assertTrue(table.hear(news("vm-b", 5, revision=3), 5.0))
-        self.assertEqual((member.news.revision, member.counter), (3, 7))
+        self.assertTrue(table.receive(news("vm-b", 5, revision=3), 5.0))
+        self.assertEqual((member.latest.revision, member.counter), (3, 7))
 
     def test_a_digest_of_an_earlier_start_says_nothing_of_this_one(self):
         table = self.table()
-        table.hear(news("vm-b", 500, "1"), 0.0)
-        table.hear(news("vm-b", 1, "2"), 1.0)
-        table.hear_digests([digest_of("vm-b", "1") << 32 | 501], 2.0)
-        table.hear(news("vm-b", 2, "2"), 3.0)
+        table.receive(news("vm-b", 500, "1"), 0.0)
+        table.receive(news("vm-b", 1, "2"), 1.0)
+        table.receive_digests([digest_of("vm-b", "1") << 32 | 501], 2.0)
+        table.receive(news("vm-b", 2, "2"), 3.0)
         self.assertEqual(table.members["vm-b"].counter, 2)
-        self.assertEqual(table.members["vm-b"].heard_at, 3.0)
+        self.assertEqual(table.members["vm-b"].last_seen_at, 3.0)
 
     def test_the_list_goes_before_what_vms_say(self):
         table = self.table()
-        table.hear(news("vm-b"), 0.0)
+        table.receive(news("vm-b"), 0.0)
         self.assertEqual(table.address("vm-b"), Address("127.0.0.1", 1))
-        table.take_list({"vm-b": Address("127.0.0.1", 2)}, 0.0)
+        table.apply_list({"vm-b": Address("127.0.0.1", 2)}, 0.0)
         self.assertEqual(table.address("vm-b"), Address("127.0.0.1", 2))
-        table.take_list({}, 1000.0)
+        table.apply_list({}, 1000.0)
         self.assertEqual(table.members, {})
 
     def test_all_rank_alike_and_a_loss_moves_only_its_own(self):
@@ -119,7 +119,7 @@
         }
         for table in self.tables.values():
             for name in self.counters:
-                table.hear(news(name, 0), 0.0)
+                table.receive(news(name, 0), 0.0)
 
     def round(self, dead: str = "") -> None:
         """Let each VM send its heartbeats once."""
@@ -134,14 +134,14 @@
                 if target == dead:
                     continue
                 other = self.tables[target]
-                other.hear_digests(digests, self.now)
+                other.receive_digests(digests, self.now)
                 for item in (own, *rumours):
-                    other.hear(replace(item), self.now)
+                    other.receive(replace(item), self.now)
 
     def believed(self, state: MemberState) -> set[str]:
         """:returns: VMs that some other believes to be in a state."""
         return {
-            member.news.vm
+            member.latest.vm
             for name, table in self.tables.items()
             if name != DEAD
             for member in table.members.values()
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -20,7 +20,7 @@
 from walnutquay.protocol.ownpeer import OwnPeerCodec
 from walnutquay.replay.player import judge
 from walnutquay.replay.traces import ReplayOutcome, TraceRequest
-from walnutquay.state.fleet.membership import Address, MemberNews
+from walnutquay.state.fleet.membership import Address, MemberUpdate
 from walnutquay.state.own.checking import parse_content
 from walnutquay.state.own.claims import RunState, WholeAnswer
 from walnutquay.state.own.configuration import PART_MODELS, Content
@@ -35,7 +35,7 @@
 TEXTS = st.text(max_size=20)
 DATA = st.binary(max_size=200)
 NEWS = st.builds(
-    MemberNews,
+    MemberUpdate,
     TEXTS,
     TEXTS,
     TEXTS,
--- a/tests/transport/test_peers.py
+++ b/tests/transport/test_peers.py
@@ -27,7 +27,7 @@
 )
 from walnutquay.protocol.ownpeer import OwnPeerCodec  # noqa: E402
 from walnutquay.protocol.peer import SEAL_BYTES  # noqa: E402
-from walnutquay.state.fleet.membership import Address, VmPlace  # noqa: E402
+from walnutquay.state.fleet.membership import Address, VmLocation  # noqa: E402
 from walnutquay.state.process.clock import HybridClock, Stamp  # noqa: E402
 from walnutquay.state.process.ids import (  # noqa: E402
     EndpointName,
@@ -159,7 +159,7 @@
     """Which VMs there are, told in short messages."""
 
     places: ClassVar = {
-        VmName(f"front-{n}"): VmPlace(Address(f"10.0.0.{n}", 7000 + n), HALL)
+        VmName(f"front-{n}"): VmLocation(Address(f"10.0.0.{n}", 7000 + n), HALL)
         for n in range(195)
     }
 
--- a/walnutquay/coordination/fleet/absentees.py
+++ b/walnutquay/coordination/fleet/absentees.py
@@ -51,7 +51,7 @@
     asked: int = 0
 
 
-class Absentees:
+class AbsenceMonitor:
     """Checks some VMs of this data hall, and takes out of the list those that are gone.
 
     :param context: what this process shares.
--- a/walnutquay/coordination/fleet/starting.py
+++ b/walnutquay/coordination/fleet/bootstrap.py
@@ -26,7 +26,7 @@
 TRY_SECONDS = 0.12
 
 
-class StartingKnowledge:
+class Bootstrap:
     """Asks running VMs once for all that they know, and answers those that ask.
 
     :param context: what this process shares.
@@ -71,7 +71,7 @@
             return None
         began = monotonic()
         while self.peers.addresses():
-            answer = await self.peers.ask_each(AskStart(), TRY_SECONDS)
+            answer = await self.peers.query_each(AskStart(), TRY_SECONDS)
             seconds = monotonic() - began
             if isinstance(answer, StartIs) and answer.lists:
                 self.context.metrics.record("starting_knowledge", seconds)
--- a/walnutquay/coordination/fleet/peers.py
+++ b/walnutquay/coordination/fleet/peers.py
@@ -14,7 +14,7 @@
 from walnutquay.exceptions import PeerError
 from walnutquay.protocol.lists import pack_places
 from walnutquay.protocol.messages import Message
-from walnutquay.state.fleet.membership import Address, VmPlace, rendezvous
+from walnutquay.state.fleet.membership import Address, VmLocation, rendezvous
 from walnutquay.state.process.ids import HallName, VmName
 from walnutquay.transport.peers import PeerNode
 
@@ -62,11 +62,11 @@
         # Whether others may find this VM before the list is known.
         self.is_seed = len(self.seeds) < len(all_seeds)
         # Where each VM is, this one among them; see the list of VMs.
-        self.known: dict[VmName, VmPlace] = {}
+        self.known: dict[VmName, VmLocation] = {}
         # Set when there is a list for the first time.
         self.listed = asyncio.Event()
         # The list as it was last written for another VM, and what it was made of.
-        self.written: tuple[dict[VmName, VmPlace], bytes] = ({}, b"")
+        self.written: tuple[dict[VmName, VmLocation], bytes] = ({}, b"")
 
     def addresses(self) -> list[Address]:
         """:returns: where the other VMs are reached."""
@@ -96,7 +96,7 @@
         data = self.packed()
         return xxhash.xxh3_64_intdigest(data) if data else 0
 
-    def tell(self, body: Message) -> None:
+    def send_to_some(self, body: Message) -> None:
         """Send a message that may be lost, in larger fleets to some VMs only.
 
         Most are of this data hall: bytes between halls have a price.
@@ -109,7 +109,7 @@
             addresses = self._some(near, TOLD - TOLD_FAR) + self._some(far, TOLD_FAR)
         self.node.send_all(addresses, body)
 
-    def tell_hall(self, hall: HallName, body: Message) -> None:
+    def send_to_hall(self, hall: HallName, body: Message) -> None:
         """Send a message that may be lost to every VM of a data hall.
 
         :param hall: the data hall.
@@ -117,11 +117,11 @@
         """
         self.node.send_all(self._by_hall(hall)[0], body)
 
-    def tell_users(self, hall: HallName, body: Message) -> None:
+    def send_to_users(self, hall: HallName, body: Message) -> None:
         """Send a message that may be lost to VMs that use what stands in a data hall.
 
         In small fleets all do; in larger ones mostly those of the hall.  In another
-        hall one VM is told, which passes it on there; see :meth:`pass_on_here`.
+        hall one VM is told, which passes it on there; see :meth:`relay_in_hall`.
 
         :param hall: the data hall.
         :param body: the message.
@@ -132,7 +132,7 @@
             addresses = self._some(self._by_hall(hall)[0], most)
         self.node.send_all(addresses, body)
 
-    def pass_on_here(self, vm: VmName, body: Message) -> None:
+    def relay_in_hall(self, vm: VmName, body: Message) -> None:
         """Pass a message on in this hall, which a VM of another one told this VM alone.
 
         Told each of 30 VMs from there it would cross between halls 30 times.
@@ -145,36 +145,36 @@
             near = self._by_hall(self.context.hall)[0]
             self.node.send_all(self._some(near, TOLD_IN_HALL - 1), body)
 
-    def spread(self, body: Message) -> None:
+    def broadcast_by_relays(self, body: Message) -> None:
         """Send a message that may be lost to all, in larger fleets by relays.
 
-        Those of the other data halls pass it on there; see :meth:`pass_on`.
+        Those of the other data halls pass it on there; see :meth:`relay`.
 
         :param body: the message.
         """
         if self.size <= TOLD + 1:
-            self.tell_all(body)
+            self.broadcast(body)
             return
-        self.tell_hall(self.context.hall, body)
-        self.tell_relays(body)
+        self.send_to_hall(self.context.hall, body)
+        self.send_to_relays(body)
 
-    def pass_on(self, hall: HallName, body: Message) -> None:
+    def relay(self, hall: HallName, body: Message) -> None:
         """Pass a message of another data hall on, where this VM is a relay.
 
         :param hall: the hall that it comes from.
         :param body: the message, as its sender spreads it.
         """
         if hall != self.context.hall and self.size > TOLD + 1 and self.is_relay():
-            self.tell_hall(self.context.hall, body)
+            self.send_to_hall(self.context.hall, body)
 
-    def tell_other_halls(self, body: Message) -> None:
+    def send_to_other_halls(self, body: Message) -> None:
         """Send a message that may be lost to every VM of the other data halls.
 
         :param body: the message.
         """
         self.node.send_all(self._by_hall(self.context.hall)[1], body)
 
-    def tell_relays(self, body: Message) -> None:
+    def send_to_relays(self, body: Message) -> None:
         """Send a message that may be lost to the relays of the other data halls.
 
         :param body: the message.
@@ -187,7 +187,7 @@
         """:returns: whether this VM passes news on between data halls."""
         return self.context.vm in self._relays_of(self.context.hall)
 
-    def is_keeper(self, key: str) -> bool:
+    def is_responsible_for(self, key: str) -> bool:
         """:param key: a name.
 
         :returns: whether this VM, of all, does what is done once for it.
@@ -233,7 +233,7 @@
             return addresses
         return self.context.rng.sample(addresses, most)
 
-    def tell_all(self, body: Message) -> None:
+    def broadcast(self, body: Message) -> None:
         """Send a message that may be lost to every other VM.
 
         :param body: the message.
@@ -255,15 +255,15 @@
             )
         return await self.node.call(place.address, body, timeout, name)
 
-    async def ask(self, body: Message) -> Message | None:
+    async def query(self, body: Message) -> Message | None:
         """Ask some peers, one after the other, until one answers.
 
         :param body: the question.
         :returns: the answer, or None.
         """
-        return await self.ask_each(body, ASK_SECONDS)
+        return await self.query_each(body, ASK_SECONDS)
 
-    async def ask_each(self, body: Message, seconds: float) -> Message | None:
+    async def query_each(self, body: Message, seconds: float) -> Message | None:
         """Ask some peers, one after the other, each for a short time.
 
         For long answers: of several that are asked at once all would send them.
@@ -278,7 +278,7 @@
                 return answer
         return None
 
-    async def ask_any(self, body: Message) -> Message | None:
+    async def query_any(self, body: Message) -> Message | None:
         """Ask some peers at once: the wait is short also where some are dark.
 
         :param body: the question.
--- a/walnutquay/coordination/fleet/register.py
+++ b/walnutquay/coordination/fleet/register.py
@@ -6,14 +6,14 @@
 
 from typing import Protocol
 
-from walnutquay.state.fleet.membership import VmPlace
+from walnutquay.state.fleet.membership import VmLocation
 from walnutquay.state.process.ids import VmName
 
 
 class Register(Protocol):
     """The list of entry VMs in the store."""
 
-    async def enter(self, vm: VmName, place: VmPlace) -> None:
+    async def enter(self, vm: VmName, place: VmLocation) -> None:
         """:param vm: this VM.
 
         :param place: where its peers reach it.
@@ -22,5 +22,5 @@
     async def leave(self, vm: VmName) -> None:
         """:param vm: this VM."""
 
-    async def read(self) -> dict[VmName, VmPlace]:
+    async def read(self) -> dict[VmName, VmLocation]:
         """:returns: where each VM is."""
--- a/walnutquay/coordination/fleet/vmlist.py
+++ b/walnutquay/coordination/fleet/vmlist.py
@@ -16,17 +16,17 @@
 
 import logbook
 
-from walnutquay.coordination.fleet.absentees import Absentees
+from walnutquay.coordination.fleet.absentees import AbsenceMonitor
+from walnutquay.coordination.fleet.bootstrap import Bootstrap
 from walnutquay.coordination.fleet.peers import FleetPeers
 from walnutquay.coordination.fleet.register import Register
-from walnutquay.coordination.fleet.starting import StartingKnowledge
 from walnutquay.coordination.fleet.watchers import Watchers
 from walnutquay.coordination.process.context import Context
 from walnutquay.coordination.process.tasks import Tasks
 from walnutquay.exceptions import MessageError, PlatformError
 from walnutquay.protocol.lists import unpack_places
 from walnutquay.protocol.messages import AskVms, Envelope, VmNews, VmRow, VmsAre
-from walnutquay.state.fleet.membership import VmPlace
+from walnutquay.state.fleet.membership import VmLocation
 from walnutquay.state.process.events import EventKind
 from walnutquay.state.process.ids import VmName
 from walnutquay.transport.timers import monotonic
@@ -59,7 +59,7 @@
     """
 
     at: float
-    place: VmPlace
+    place: VmLocation
     left: str | None = None
 
 
@@ -81,7 +81,7 @@
         peers: FleetPeers,
         register: Register,
         watchers: Watchers,
-        starting: StartingKnowledge,
+        starting: Bootstrap,
         first_start: bool,
     ) -> None:
         self.context = context
@@ -94,7 +94,7 @@
         self.news: dict[VmName, Heard] = {}
         # When this VM last wrote its entry; monotonic seconds.
         self.entered_at = float("-inf")
-        self.absentees = Absentees(context, peers, register)
+        self.absentees = AbsenceMonitor(context, peers, register)
         self.tasks = Tasks()
 
     def start(self) -> None:
@@ -113,9 +113,9 @@
             log.warn("this VM's entry is left behind: {}", error)
 
     @property
-    def own(self) -> VmPlace:
+    def own(self) -> VmLocation:
         """Where this VM is reached."""
-        return VmPlace(self.peers.own, self.context.hall)
+        return VmLocation(self.peers.own, self.context.hall)
 
     # What the other VMs ask and tell.
 
@@ -130,7 +130,7 @@
             return VmsAre()
         return VmsAre(self.peers.packed())
 
-    def hear(self, envelope: Envelope) -> None:
+    def receive(self, envelope: Envelope) -> None:
         """Take in that a VM has come or goes.
 
         :param envelope: what it says of itself.
@@ -140,9 +140,9 @@
         left = body.incarnation if body.leaving else None
         self._note(body.row.vm, Heard(monotonic(), body.row.place, left))
         if envelope.vm == body.row.vm:
-            self.peers.pass_on(body.row.place.hall, body)
+            self.peers.relay(body.row.place.hall, body)
 
-    def heard_from(self, envelope: Envelope) -> None:
+    def detect_restart(self, envelope: Envelope) -> None:
         """Take in that a VM lives which is held to have left: it has started again.
 
         What it says of that may be lost, and it would be told no news until the list
@@ -158,7 +158,7 @@
     def _note(self, vm: VmName, heard: Heard) -> None:
         self.news[vm] = heard
         if self.peers.known:
-            self.take(self.peers.known)
+            self.apply(self.peers.known)
 
     # Keeping up.
 
@@ -190,7 +190,7 @@
         if await self._hear_list():
             return False
         try:
-            self.take(await self.register.read())
+            self.apply(await self.register.read())
         except PlatformError as error:
             log.debug("the list of VMs could not be read: {}", error)
             return False
@@ -204,7 +204,7 @@
         if self.peers.known:
             if self.watchers.includes_this():
                 return False
-            answer = await self.watchers.ask_near(AskVms(self.peers.digest))
+            answer = await self.watchers.query_near(AskVms(self.peers.digest))
             return isinstance(answer, VmsAre) and self._take_told(answer.data)
         if self.peers.is_seed or not self.peers.seeds:
             return False
@@ -213,7 +213,7 @@
             return self._take_told(told.vms)
         end = monotonic() + FIRST_LIST_SECONDS
         while monotonic() < end:
-            answer = await self.peers.ask_any(AskVms())
+            answer = await self.peers.query_any(AskVms())
             if isinstance(answer, VmsAre) and answer.data:
                 return self._take_told(answer.data)
             await asyncio.sleep(FIRST_LIST_PAUSE)
@@ -227,7 +227,7 @@
         if not data:
             return True
         try:
-            self.take(unpack_places(data))
+            self.apply(unpack_places(data))
         except MessageError as error:
             log.warn("a peer's list of VMs is not taken over: {}", error)
             return False
@@ -255,9 +255,9 @@
     def _tell(self, leaving: bool) -> None:
         """Tell all VMs that this one comes or goes."""
         row = VmRow(self.context.vm, self.own)
-        self.peers.spread(VmNews(row, leaving, self.context.incarnation))
+        self.peers.broadcast_by_relays(VmNews(row, leaving, self.context.incarnation))
 
-    def take(self, listed: dict[VmName, VmPlace]) -> None:
+    def apply(self, listed: dict[VmName, VmLocation]) -> None:
         """Take over a list, but for what VMs have said of themselves since.
 
         :param listed: where each VM is.
--- a/walnutquay/coordination/fleet/watchers.py
+++ b/walnutquay/coordination/fleet/watchers.py
@@ -12,7 +12,7 @@
 from walnutquay.coordination.process.context import Context
 from walnutquay.exceptions import PeerError
 from walnutquay.protocol.messages import AskChanges, ChangesAre, Message
-from walnutquay.state.fleet.membership import VmPlace, rendezvous
+from walnutquay.state.fleet.membership import VmLocation, rendezvous
 from walnutquay.state.process.ids import HallName, VmName
 from walnutquay.transport.timers import monotonic
 
@@ -52,7 +52,7 @@
         # The VMs of each data hall in their rank for the duty, and the list of VMs that
         # this was made of: a VM asks some ten times a second.
         self.ranked: dict[HallName, list[VmName]] = {}
-        self.made_of: dict[VmName, VmPlace] | None = None
+        self.made_of: dict[VmName, VmLocation] | None = None
 
     def includes_this(self) -> bool:
         """:returns: whether this VM is to watch the store itself."""
@@ -97,7 +97,9 @@
         self.context.rng.shuffle(far)
         return [vm for vm in near if vm != self.context.vm], far
 
-    async def ask(self, kind: str, revision: int, seconds: float) -> ChangesAre | None:
+    async def query(
+        self, kind: str, revision: int, seconds: float
+    ) -> ChangesAre | None:
         """Wait for changes at a watcher that has them from the store.
 
         :param kind: the kind of objects.
@@ -122,7 +124,7 @@
             failing = answer
         return failing
 
-    async def ask_near(self, question: Message) -> Message | None:
+    async def query_near(self, question: Message) -> Message | None:
         """Ask the VM of this data hall that watches the store.
 
         :param question: what it is asked, which it answers at once.
--- a/walnutquay/coordination/own/billing.py
+++ b/walnutquay/coordination/own/billing.py
@@ -359,12 +359,12 @@
         """
         vm = self.vm_of.get(incarnation, "")
         member = self.members.table.members.get(vm)
-        if member is None or member.news.incarnation > incarnation:
+        if member is None or member.latest.incarnation > incarnation:
             return math.inf
         now = monotonic()
         if self.members.table.state_of(member, now) is MemberState.ALIVE:
             return 0.0
-        return now - member.heard_at
+        return now - member.last_seen_at
 
     async def flush_for_dead(self) -> None:
         """Store what is kept for VMs that are gone.
--- a/walnutquay/coordination/own/billkeepers.py
+++ b/walnutquay/coordination/own/billkeepers.py
@@ -43,9 +43,9 @@
         found = []
         for wanted in Distance:
             names = [
-                member.news.vm
+                member.latest.vm
                 for member in alive
-                if distance(self.context.hall, self.context.region, member.news)
+                if distance(self.context.hall, self.context.region, member.latest)
                 is wanted
             ]
             preferred = [n for n in names if not self._failed_recently(n, now)]
@@ -89,7 +89,7 @@
         :returns: its last known incarnation; None if the peer is unknown.
         """
         member = self.members.table.members.get(peer)
-        return member.news.incarnation if member is not None else None
+        return member.latest.incarnation if member is not None else None
 
     def is_alive(self, peer: str, incarnation: Incarnation | None) -> bool:
         """:param peer: a peer's name.
@@ -99,6 +99,6 @@
         """
         alive = self.members.table.alive(monotonic())
         return any(
-            member.news.vm == peer and member.news.incarnation == incarnation
+            member.latest.vm == peer and member.news.incarnation == incarnation
             for member in alive
         )
--- a/walnutquay/coordination/own/configurations.py
+++ b/walnutquay/coordination/own/configurations.py
@@ -29,7 +29,7 @@
 from walnutquay.platform.values import Stored
 from walnutquay.protocol.messages import Envelope
 from walnutquay.protocol.ownmessages import AskHead, AskPart, HeadIs, PartIs
-from walnutquay.state.fleet.membership import MemberNews
+from walnutquay.state.fleet.membership import MemberUpdate
 from walnutquay.state.own.configuration import (
     Configuration,
     Head,
@@ -187,7 +187,7 @@
         except PlatformError as error:
             log.warn("the restored store cannot be brought up to date: {}", error)
 
-    def on_news(self, news: MemberNews, direct: bool) -> None:
+    def on_news(self, news: MemberUpdate, direct: bool) -> None:
         """Take in what a heartbeat says of revisions.
 
         :param news: of a member.
--- a/walnutquay/coordination/own/members.py
+++ b/walnutquay/coordination/own/members.py
@@ -16,7 +16,7 @@
 from walnutquay.exceptions import EndpointError, PeerError
 from walnutquay.protocol.messages import Envelope, Message
 from walnutquay.protocol.ownmessages import Heartbeat
-from walnutquay.state.fleet.membership import Address, MemberNews, MemberTable
+from walnutquay.state.fleet.membership import Address, MemberTable, MemberUpdate
 from walnutquay.state.process.events import EventKind
 from walnutquay.state.process.ids import MemberState
 from walnutquay.transport.client import get_json
@@ -61,7 +61,7 @@
         node: PeerNode,
         dispatcher: Dispatcher,
         vm_list_url: str,
-        own: Callable[[], MemberNews],
+        own: Callable[[], MemberUpdate],
     ) -> None:
         self.context = context
         self.node = node
@@ -76,7 +76,7 @@
         self.list_read_at = float("-inf")
         # Whom to tell of newer news of a VM, and whether it came from that VM
         # itself; and whom to tell of the endpoints on the list.
-        self.on_news: list[Callable[[MemberNews, bool], None]] = []
+        self.on_news: list[Callable[[MemberUpdate, bool], None]] = []
         self.on_endpoints: list[Callable[[list[ListedEndpoint]], None]] = []
         # The state that each member was last seen in, to tell of changes.
         self.states: dict[str, MemberState] = {}
@@ -147,7 +147,7 @@
         :param body: the message.
         """
         for member in self.table.alive(monotonic()):
-            self.send(member.news.vm, body)
+            self.send(member.latest.vm, body)
 
     def tell(self, body: Message) -> None:
         """Send a datagram to some members, those of the next round of heartbeats.
@@ -172,9 +172,9 @@
         heartbeat = envelope.body
         assert isinstance(heartbeat, Heartbeat)
         now = monotonic()
-        self.table.hear_digests(heartbeat.digests, now)
+        self.table.receive_digests(heartbeat.digests, now)
         for news in (heartbeat.own, *heartbeat.rumours):
-            if self.table.hear(news, now):
+            if self.table.receive(news, now):
                 for listener in self.on_news:
                     listener(news, news is heartbeat.own)
 
@@ -197,7 +197,7 @@
         assert isinstance(rows, list)
         entries = [row for row in rows if row["kind"] == "entry"]
         addresses = {row["name"]: Address(row["host"], row["port"]) for row in entries}
-        self.table.take_list(addresses, monotonic())
+        self.table.apply_list(addresses, monotonic())
         endpoints = [
             ListedEndpoint(row["name"], row["leaving"], row.get("incarnation", ""))
             for row in rows
--- a/walnutquay/coordination/own/parts.py
+++ b/walnutquay/coordination/own/parts.py
@@ -36,7 +36,7 @@
 from walnutquay.protocol.ownpeer import OwnPeerCodec
 from walnutquay.protocol.services import HEADER_REQUEST_ID
 from walnutquay.settings import Settings
-from walnutquay.state.fleet.membership import Address, MemberNews
+from walnutquay.state.fleet.membership import Address, MemberUpdate
 from walnutquay.state.own.admission import RetryBudget
 from walnutquay.state.own.sessions import PinSealer
 from walnutquay.state.process.ids import HallName, VmName
@@ -172,9 +172,9 @@
         )
         self.services = ServicePath(path_parts, self.client)
 
-    def news(self) -> MemberNews:
+    def news(self) -> MemberUpdate:
         """:returns: what this VM tells the others of itself."""
-        return MemberNews(
+        return MemberUpdate(
             vm=self.context.vm,
             incarnation=self.context.incarnation,
             hall=self.context.hall,
--- a/walnutquay/coordination/own/pins.py
+++ b/walnutquay/coordination/own/pins.py
@@ -106,7 +106,7 @@
 
     def _ranked(self, organisation: str, session: str) -> list[str]:
         alive = self.members.table.alive(monotonic())
-        names = [self.context.vm, *(member.news.vm for member in alive)]
+        names = [self.context.vm, *(member.latest.vm for member in alive)]
         return rendezvous(f"pin/{organisation}/{session}", names)
 
     async def _ask(self, keeper: str, question: AskPin) -> Pin | None:
--- a/walnutquay/coordination/requests/crashes.py
+++ b/walnutquay/coordination/requests/crashes.py
@@ -133,7 +133,7 @@
             return True
         if not self.book.is_blocked_elsewhere(fingerprint, target):
             return False
-        if not self.peers.is_keeper(fingerprint):
+        if not self.peers.is_responsible_for(fingerprint):
             return True
         now = monotonic()
         if now < self.trying.get(fingerprint, float("-inf")):
--- a/walnutquay/coordination/requests/crashnews.py
+++ b/walnutquay/coordination/requests/crashnews.py
@@ -41,13 +41,13 @@
 class Peers(Protocol):
     """The other entry VMs."""
 
-    def tell_all(self, body: Message) -> None:
+    def broadcast(self, body: Message) -> None:
         """:param body: a message to all of them; it may be lost."""
 
-    def tell(self, body: Message) -> None:
+    def send_to_some(self, body: Message) -> None:
         """:param body: a message to some of them; it may be lost."""
 
-    def is_keeper(self, key: str) -> bool:
+    def is_responsible_for(self, key: str) -> bool:
         """:param key: a name.
 
         :returns: whether this VM, of all, does what is done once for it.
@@ -96,7 +96,7 @@
 
     def tell_digest(self) -> None:
         """Let some other VMs see whether they know the same."""
-        self.peers.tell(CrashDigest(self.book.digest()))
+        self.peers.send_to_some(CrashDigest(self.book.digest()))
 
     async def _tell(self) -> None:
         """Tell all VMs what has been noted, twice."""
@@ -110,7 +110,7 @@
         now = monotonic()
         traces = [replace(trace, age=trace.age + now - noted) for noted, trace in told]
         for first in range(0, len(traces), TRACES_TOLD):
-            self.peers.tell_all(CrashNews(tuple(traces[first : first + TRACES_TOLD])))
+            self.peers.broadcast(CrashNews(tuple(traces[first : first + TRACES_TOLD])))
 
     def hear(self, envelope: Envelope) -> None:
         """Take in what another VM has noted.
--- a/walnutquay/coordination/routed/cascading.py
+++ b/walnutquay/coordination/routed/cascading.py
@@ -37,7 +37,7 @@
 class Peers(Protocol):
     """The other entry VMs."""
 
-    def tell(self, body: Message) -> None:
+    def send_to_some(self, body: Message) -> None:
         """:param body: a message to some of them; it may be lost."""
 
 
@@ -76,7 +76,7 @@
         rows = self.choice.gains.rows()
         if rows != self.told:
             self.told = rows
-            self.peers.tell(OpinionNews(rows))
+            self.peers.send_to_some(OpinionNews(rows))
 
     def hear(self, envelope: Envelope) -> None:
         """Take in what another VM has learnt.
--- a/walnutquay/coordination/routed/worknews.py
+++ b/walnutquay/coordination/routed/worknews.py
@@ -19,13 +19,13 @@
 class Peers(Protocol):
     """The other entry VMs."""
 
-    def tell_users(self, hall: HallName, body: Message) -> None:
+    def send_to_users(self, hall: HallName, body: Message) -> None:
         """:param hall: a data hall.
 
         :param body: a message to VMs that use what stands there; it may be lost.
         """
 
-    def pass_on_here(self, vm: VmName, body: Message) -> None:
+    def relay_in_hall(self, vm: VmName, body: Message) -> None:
         """:param vm: the VM that told it.
 
         :param body: a message for those who use what stands in this data hall.
@@ -57,7 +57,7 @@
             return
         work = note.work
         rate = self.places.work.rate(work.model)
-        self.peers.tell_users(
+        self.peers.send_to_users(
             note.hall,
             WorkNews(note.engine, note.seconds, work.beginning, work.model, rate),
         )
@@ -69,4 +69,4 @@
         """
         assert isinstance(envelope.body, WorkNews)
         self.places.hear(envelope.body)
-        self.peers.pass_on_here(VmName(envelope.vm), envelope.body)
+        self.peers.relay_in_hall(VmName(envelope.vm), envelope.body)
--- a/walnutquay/coordination/store/relaying.py
+++ b/walnutquay/coordination/store/relaying.py
@@ -16,7 +16,7 @@
 
 import logbook
 
-from walnutquay.coordination.fleet.starting import StartingKnowledge
+from walnutquay.coordination.fleet.bootstrap import Bootstrap
 from walnutquay.coordination.fleet.watchers import Watchers
 from walnutquay.coordination.store.following import Feed, Follower
 from walnutquay.coordination.store.knowledge import Knowledge
@@ -77,7 +77,7 @@
         watchers: Watchers,
         on_returned: Callable[[float], None] = lambda ago: None,
         poll: float | None = None,
-        starting: StartingKnowledge | None = None,
+        starting: Bootstrap | None = None,
     ) -> None:
         self.direct = direct
         self.watchers = watchers
@@ -114,7 +114,7 @@
         self.watching = self.watchers.includes_this()
         if not self.watching:
             wait = min(seconds, self.poll)
-            answer = await self.watchers.ask(self.kind, revision, wait)
+            answer = await self.watchers.query(self.kind, revision, wait)
             if answer is not None:
                 return self._read(answer)
             self.watching = True
--- a/walnutquay/coordination/trials/news.py
+++ b/walnutquay/coordination/trials/news.py
@@ -56,19 +56,19 @@
     def size(self) -> int:
         """How many VMs there are, this one among them."""
 
-    def tell_all(self, body: Message) -> None:
+    def broadcast(self, body: Message) -> None:
         """:param body: a message to all of them; it may be lost."""
 
-    def tell_hall(self, hall: HallName, body: Message) -> None:
+    def send_to_hall(self, hall: HallName, body: Message) -> None:
         """:param hall: a data hall.
 
         :param body: a message to its VMs; it may be lost.
         """
 
-    def tell_other_halls(self, body: Message) -> None:
+    def send_to_other_halls(self, body: Message) -> None:
         """:param body: a message to all VMs of the other data halls; it may be lost."""
 
-    def tell_relays(self, body: Message) -> None:
+    def send_to_relays(self, body: Message) -> None:
         """:param body: a message to the relays of the other halls; it may be lost."""
 
     def is_relay(self) -> bool:
@@ -80,7 +80,7 @@
         :returns: its data hall, if it is known.
         """
 
-    async def ask_any(self, body: Message) -> Message | None:
+    async def query_any(self, body: Message) -> Message | None:
         """:param body: a question to some of them at once.
 
         :returns: the first answer, or None.
@@ -160,13 +160,13 @@
         task.told_usual = bool(usual)
         report = replace(trial.report(now), usual=usual)
         if not self._by_halls():
-            self.peers.tell_all(TrialNews(report))
+            self.peers.broadcast(TrialNews(report))
         else:
-            self.peers.tell_hall(self.context.hall, TrialNews(report))
+            self.peers.send_to_hall(self.context.hall, TrialNews(report))
             if decided:
                 # These must not wait for relays: sessions would be moved meanwhile.
                 decisions = replace(report, counts=(), usual=())
-                self.peers.tell_other_halls(TrialNews(decisions))
+                self.peers.send_to_other_halls(TrialNews(decisions))
         self._log(task, trial.order.service, **facts_of(trial))
 
     def _relay(self, task: TrialTask, now: float) -> None:
@@ -177,7 +177,7 @@
         report = replace(task.trial.report_of_hall(now), usual=usual)
         if report.counts != task.relayed:
             task.relayed = report.counts
-            self.peers.tell_relays(TrialNews(report, self.context.hall))
+            self.peers.send_to_relays(TrialNews(report, self.context.hall))
 
     def _log(self, task: TrialTask, detail: str, **counts: int) -> None:
         """Tell in the log where a trial stands here."""
@@ -236,7 +236,7 @@
             told = trial.receive_from_hall(news.hall, news.report, now)
             # Two relays of that hall tell the same to two of this one.
             if told and sender != here:
-                self.peers.tell_hall(here, news)
+                self.peers.send_to_hall(here, news)
         elif self._by_halls() and sender != here:
             # What this VM has seen comes with the counts of its hall.
             trial.receive_decisions(news.report, now)
@@ -277,7 +277,7 @@
         order = trial.order
         told = None
         try:
-            told = await self.peers.ask_any(AskTrial(order.name, order.version))
+            told = await self.peers.query_any(AskTrial(order.name, order.version))
             known = told.report.seen if isinstance(told, TrialNews) else 0
             if not known:
                 await self._recover(trial)
--- a/walnutquay/coordination/trials/record.py
+++ b/walnutquay/coordination/trials/record.py
@@ -53,7 +53,7 @@
 class Keepers(Protocol):
     """The other entry VMs."""
 
-    def is_keeper(self, key: str) -> bool:
+    def is_responsible_for(self, key: str) -> bool:
         """:param key: a name.
 
         :returns: whether this VM, of all, does what is done once for it.
@@ -133,7 +133,7 @@
         order = task.trial.order.name
         now = monotonic()
         due = now - self.written_at.get(order, float("-inf")) >= WRITE_SECONDS
-        if task.asking or not due or not self.keepers.is_keeper(_value(order)):
+        if task.asking or not due or not self.keepers.is_responsible_for(_value(order)):
             return
         report = task.trial.report_of_all(now)
         if report.counts and report != self.written.get(order):
--- a/walnutquay/coordination/trials/sessions.py
+++ b/walnutquay/coordination/trials/sessions.py
@@ -120,7 +120,7 @@
     async def hand_over(self) -> None:
         """Leave what this VM has seen of sessions to others, as it stops."""
         rows = tuple(self.notes.recent(monotonic()))[:MAX_HANDED_OVER]
-        if rows and await self.peers.ask_any(SessionsSeen(rows)) is None:
+        if rows and await self.peers.query_any(SessionsSeen(rows)) is None:
             log.warn("{} sessions could not be handed over", len(rows))
 
     def take_over(self, envelope: Envelope) -> SessionsTaken:
--- a/walnutquay/daemon/beliefs.py
+++ b/walnutquay/daemon/beliefs.py
@@ -22,10 +22,10 @@
         "members": {
             name: {
                 "state": table.state_of(member, now).value,
-                "incarnation": member.news.incarnation,
-                "counter": member.news.counter,
-                "revision": member.news.revision,
-                "heard": now - member.heard_at,
+                "incarnation": member.latest.incarnation,
+                "counter": member.latest.counter,
+                "revision": member.latest.revision,
+                "heard": now - member.last_seen_at,
             }
             for name, member in table.members.items()
         },
--- a/walnutquay/daemon/gateway.py
+++ b/walnutquay/daemon/gateway.py
@@ -13,8 +13,8 @@
 import logbook
 import uvloop
 
+from walnutquay.coordination.fleet.bootstrap import Bootstrap
 from walnutquay.coordination.fleet.peers import FleetPeers
-from walnutquay.coordination.fleet.starting import StartingKnowledge
 from walnutquay.coordination.fleet.vmlist import VmList
 from walnutquay.coordination.fleet.watchers import Watchers
 from walnutquay.coordination.process.context import Context, Timeline, new_incarnation
@@ -118,7 +118,7 @@
         self.peers = self._make_peers()
         first_start = options.peers.first_start
         self.watchers = Watchers(self.context, self.peers)
-        self.starting = StartingKnowledge(
+        self.starting = Bootstrap(
             self.context, self.peers, lambda: self.knowledge.lists(), first_start
         )
         self.dispatcher.on(AskStart, self.starting.answer)
@@ -131,8 +131,8 @@
             first_start,
         )
         self.dispatcher.on(AskVms, self.vm_list.answer)
-        self.dispatcher.on(VmNews, self.vm_list.hear)
-        self.dispatcher.listeners.append(self.vm_list.heard_from)
+        self.dispatcher.on(VmNews, self.vm_list.receive)
+        self.dispatcher.listeners.append(self.vm_list.detect_restart)
         links = StoreLinks(
             self.context, self.store, self.peers, self.watchers, self.starting
         )
--- a/walnutquay/daemon/status.py
+++ b/walnutquay/daemon/status.py
@@ -41,15 +41,15 @@
     configurations = parts.configurations
     members = [
         {
-            "vm": member.news.vm,
-            "hall": member.news.hall,
-            "incarnation": member.news.incarnation,
+            "vm": member.latest.vm,
+            "hall": member.latest.hall,
+            "incarnation": member.latest.incarnation,
             "state": parts.members.table.state_of(member, now).value,
-            "revision": member.news.revision,
-            "heard": round(now - member.heard_at, 3),
+            "revision": member.latest.revision,
+            "heard": round(now - member.last_seen_at, 3),
             "listed": member.listed,
-            "administration": f"{member.news.address.host}:"
-            f"{member.news.administration}",
+            "administration": f"{member.latest.address.host}:"
+            f"{member.latest.administration}",
         }
         for member in parts.members.table.members.values()
     ]
--- a/walnutquay/daemon/storefeeds.py
+++ b/walnutquay/daemon/storefeeds.py
@@ -6,8 +6,8 @@
 
 from dataclasses import dataclass
 
+from walnutquay.coordination.fleet.bootstrap import Bootstrap
 from walnutquay.coordination.fleet.peers import FleetPeers
-from walnutquay.coordination.fleet.starting import StartingKnowledge
 from walnutquay.coordination.fleet.watchers import Watchers
 from walnutquay.coordination.process.context import Context
 from walnutquay.coordination.store.following import watch_times
@@ -45,7 +45,7 @@
     store: StoreClient
     peers: FleetPeers
     watchers: Watchers
-    starting: StartingKnowledge
+    starting: Bootstrap
 
     def knowledge(self, promises: PromisesSection) -> Knowledge:
         """:param promises: the limits that the platform's operators set."""
@@ -96,5 +96,5 @@
         )
 
     async def _ask_peers(self, kind: str, revision: int) -> bytes:
-        answer = await self.peers.ask(AskKnown(kind, revision))
+        answer = await self.peers.query(AskKnown(kind, revision))
         return answer.data if isinstance(answer, KnownIs) else b""
--- a/walnutquay/platform/records.py
+++ b/walnutquay/platform/records.py
@@ -21,7 +21,7 @@
     VmSpec,
     read_spec,
 )
-from walnutquay.state.fleet.membership import Address, VmPlace
+from walnutquay.state.fleet.membership import Address, VmLocation
 from walnutquay.state.process.ids import (
     EndpointName,
     HallName,
@@ -207,14 +207,14 @@
     return float(value)
 
 
-def decode_vm(name: str, spec: Any) -> VmPlace:
+def decode_vm(name: str, spec: Any) -> VmLocation:
     """:param name: the object's name.
 
     :param spec: its content.
     :raises MessageError: if it is not what entry VMs write.
     """
     read = read_spec(VmSpec, spec, name)
-    return VmPlace(Address(read.host, read.port), HallName(read.hall))
+    return VmLocation(Address(read.host, read.port), HallName(read.hall))
 
 
 def encode_order_status(order: RolloutOrder, state: OrderState) -> dict[str, Any]:
--- a/walnutquay/platform/registers.py
+++ b/walnutquay/platform/registers.py
@@ -14,7 +14,7 @@
 from walnutquay.platform.names import KIND_ROLLOUTS, KIND_VMS
 from walnutquay.platform.records import decode_order, decode_vm, encode_order_status
 from walnutquay.platform.store import StoreClient
-from walnutquay.state.fleet.membership import VmPlace
+from walnutquay.state.fleet.membership import VmLocation
 from walnutquay.state.process.ids import VmName
 from walnutquay.state.store.orders import OrderState, RolloutOrder
 
@@ -30,7 +30,7 @@
     def __init__(self, store: StoreClient) -> None:
         self.store = store
 
-    async def enter(self, vm: VmName, place: VmPlace) -> None:
+    async def enter(self, vm: VmName, place: VmLocation) -> None:
         """Write a VM's entry.
 
         :param vm: the VM.
@@ -47,7 +47,7 @@
         """:param vm: a VM that stops."""
         await self.store.delete(KIND_VMS, vm)
 
-    async def read(self) -> dict[VmName, VmPlace]:
+    async def read(self) -> dict[VmName, VmLocation]:
         """:returns: where each VM is reached, as it was some seconds ago."""
         try:
             found, _ = await self.store.list(KIND_VMS, stale=True)
--- a/walnutquay/protocol/lists.py
+++ b/walnutquay/protocol/lists.py
@@ -10,7 +10,7 @@
 import orjson
 
 from walnutquay.exceptions import MessageError
-from walnutquay.state.fleet.membership import Address, VmPlace
+from walnutquay.state.fleet.membership import Address, VmLocation
 from walnutquay.state.process.ids import HallName, VmName
 
 # The fastest level.
@@ -43,7 +43,7 @@
     return plain
 
 
-def pack_places(places: Mapping[VmName, VmPlace]) -> bytes:
+def pack_places(places: Mapping[VmName, VmLocation]) -> bytes:
     """:param places: where each VM is.
 
     :returns: the list; some 7 bytes a VM in a fleet of 195.
@@ -55,14 +55,14 @@
     return pack(orjson.dumps(rows))
 
 
-def unpack_places(data: bytes) -> dict[VmName, VmPlace]:
+def unpack_places(data: bytes) -> dict[VmName, VmLocation]:
     """:param data: what :func:`pack_places` wrote.
 
     :raises MessageError: if it is not that.
     """
     try:
         return {
-            VmName(vm): VmPlace(Address(host, int(port)), HallName(hall))
+            VmName(vm): VmLocation(Address(host, int(port)), HallName(hall))
             for vm, host, port, hall in orjson.loads(unpack(data))
         }
     except (orjson.JSONDecodeError, TypeError, ValueError) as error:
--- a/walnutquay/protocol/messages.py
+++ b/walnutquay/protocol/messages.py
@@ -7,7 +7,7 @@
 import math
 from dataclasses import dataclass, field
 
-from walnutquay.state.fleet.membership import VmPlace
+from walnutquay.state.fleet.membership import VmLocation
 from walnutquay.state.process.clock import Stamp
 from walnutquay.state.process.ids import HallName, VmName
 from walnutquay.state.requests.crashtypes import CrashTrace
@@ -123,7 +123,7 @@
     """
 
     vm: VmName
-    place: VmPlace
+    place: VmLocation
 
 
 @dataclass(frozen=True, slots=True)
--- a/walnutquay/protocol/ownmessages.py
+++ b/walnutquay/protocol/ownmessages.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from walnutquay.protocol.messages import Message
-from walnutquay.state.fleet.membership import MemberNews
+from walnutquay.state.fleet.membership import MemberUpdate
 from walnutquay.state.own.claims import RunState, WholeAnswer
 from walnutquay.state.own.tallies import TallyRow
 
@@ -21,8 +21,8 @@
     :param digests: of whom it has heard, in short.
     """
 
-    own: MemberNews
-    rumours: tuple[MemberNews, ...] = ()
+    own: MemberUpdate
+    rumours: tuple[MemberUpdate, ...] = ()
     digests: tuple[int, ...] = ()
 
 
--- a/walnutquay/protocol/ownpeer.py
+++ b/walnutquay/protocol/ownpeer.py
@@ -12,7 +12,7 @@
 from walnutquay.protocol import ownmessages as own
 from walnutquay.protocol.peer import PeerCodec, Readers
 from walnutquay.protocol.peerfields import body_fields, flat_fields
-from walnutquay.state.fleet.membership import Address, MemberNews
+from walnutquay.state.fleet.membership import Address, MemberUpdate
 from walnutquay.state.own.claims import RunState, WholeAnswer
 from walnutquay.state.own.tallies import TallyRow
 from walnutquay.state.process.ids import HallName, Incarnation, VmName
@@ -20,7 +20,7 @@
 # How each message is written: its member of the schema, and its fields.
 
 
-def _news_fields(news: MemberNews) -> dict[str, Any]:
+def _news_fields(news: MemberUpdate) -> dict[str, Any]:
     return {
         "vm": news.vm,
         "incarnation": news.incarnation,
@@ -155,8 +155,8 @@
 # How each message is read.
 
 
-def _news(reader: Any) -> MemberNews:
-    return MemberNews(
+def _news(reader: Any) -> MemberUpdate:
+    return MemberUpdate(
         vm=VmName(reader.vm),
         incarnation=Incarnation(reader.incarnation),
         hall=HallName(reader.hall),
--- a/walnutquay/protocol/peer.py
+++ b/walnutquay/protocol/peer.py
@@ -15,7 +15,7 @@
 from walnutquay.exceptions import MessageError
 from walnutquay.protocol import messages as m
 from walnutquay.protocol.peerfields import body_fields
-from walnutquay.state.fleet.membership import Address, VmPlace
+from walnutquay.state.fleet.membership import Address, VmLocation
 from walnutquay.state.process.clock import Stamp
 from walnutquay.state.process.ids import (
     EndpointName,
@@ -43,7 +43,7 @@
 
 
 def _row(reader: Any) -> m.VmRow:
-    place = VmPlace(Address(reader.host, reader.port), HallName(reader.hall))
+    place = VmLocation(Address(reader.host, reader.port), HallName(reader.hall))
     return m.VmRow(VmName(reader.vm), place)
 
 
--- a/walnutquay/state/fleet/membership.py
+++ b/walnutquay/state/fleet/membership.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class VmPlace:
+class VmLocation:
     """Where a VM is.
 
     :param address: where it listens to its peers.
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MemberNews:
+class MemberUpdate:
     """What a VM says of itself, or is passed on of it.
 
     :param vm: its name.
@@ -86,15 +86,15 @@
 class Member:
     """What is believed of one VM.
 
-    :param news: the newest that was heard of it.
-    :param heard_at: when it was last heard of anew; monotonic seconds.
+    :param latest: the newest update that was received of it.
+    :param last_seen_at: when it was last heard of anew; monotonic seconds.
     :param counter: its newest heartbeat that was heard of, in whole or as a
         digest.
     :param listed: whether the platform's VM list has it.
     """
 
-    news: MemberNews
-    heard_at: float
+    latest: MemberUpdate
+    last_seen_at: float
     counter: int
     listed: bool = False
 
@@ -103,9 +103,9 @@
 
         :param silent_after: seconds without news after which it is silent.
         """
-        if self.news.leaving:
+        if self.latest.leaving:
             return MemberState.LEAVING
-        if now - self.heard_at > silent_after:
+        if now - self.last_seen_at > silent_after:
             return MemberState.SILENT
         return MemberState.ALIVE
 
@@ -141,7 +141,7 @@
     OWN_HALL = 2
 
 
-def distance(hall: str, region: str, other: MemberNews) -> Distance:
+def distance(hall: str, region: str, other: MemberUpdate) -> Distance:
     """:param hall: a VM's data hall.
 
     :param region: its region.
@@ -172,7 +172,7 @@
         # Where the VM list says that a VM is; it goes before what VMs say.
         self.listed_addresses: dict[str, Address] = {}
 
-    def hear(self, news: MemberNews, now: float) -> bool:
+    def receive(self, news: MemberUpdate, now: float) -> bool:
         """Take in news of a VM, from itself or passed on.
 
         :param news: the news.
@@ -186,7 +186,7 @@
             listed = news.vm in self.listed_addresses
             self._know(Member(news, now, news.counter, listed))
             return True
-        known = member.news
+        known = member.latest
         if news.incarnation < known.incarnation:
             # Incarnations begin with the time of the start, so they sort.
             return False
@@ -195,14 +195,14 @@
             return True
         if news.counter > member.counter:
             member.counter = news.counter
-            member.heard_at = now
+            member.last_seen_at = now
         if news.counter <= known.counter:
             return False
-        member.news = news
+        member.latest = news
         return True
 
     def _know(self, member: Member) -> None:
-        news = member.news
+        news = member.latest
         earlier = self.members.get(news.vm)
         if earlier is not None:
             # What is still said of the earlier start must not count for this.
@@ -211,10 +211,10 @@
         self.by_digest[digest_of(news.vm, news.incarnation)] = news.vm
 
     def _forget_digest(self, member: Member) -> None:
-        news = member.news
+        news = member.latest
         self.by_digest.pop(digest_of(news.vm, news.incarnation), None)
 
-    def hear_digests(self, digests: Iterable[int], now: float) -> None:
+    def receive_digests(self, digests: Iterable[int], now: float) -> None:
         """Take in which members a peer has heard of.
 
         :param digests: as :meth:`digests` gave them.
@@ -225,7 +225,7 @@
             counter = digest & COUNTER_MASK
             if member is not None and counter > member.counter:
                 member.counter = counter
-                member.heard_at = now
+                member.last_seen_at = now
 
     def digests(self, now: float) -> list[int]:
         """Choose of whom to say that they were heard.
@@ -234,11 +234,11 @@
         :returns: for each, what stands for it and its newest heartbeat.
         """
         horizon = now - self.silent_after() / 2
-        fresh = [m for m in self.members.values() if m.heard_at > horizon]
+        fresh = [m for m in self.members.values() if m.last_seen_at > horizon]
         if len(fresh) > DIGESTS:
             fresh = self.rng.sample(fresh, DIGESTS)
         return [
-            digest_of(m.news.vm, m.news.incarnation) << COUNTER_BITS
+            digest_of(m.latest.vm, m.news.incarnation) << COUNTER_BITS
             | m.counter & COUNTER_MASK
             for m in fresh
         ]
@@ -257,7 +257,7 @@
         """
         return member.state(now, self.silent_after())
 
-    def take_list(self, listed: dict[str, Address], now: float) -> None:
+    def apply_list(self, listed: dict[str, Address], now: float) -> None:
         """Take in the platform's list of VMs, which lags.
 
         :param listed: address by VM name.
@@ -266,7 +266,7 @@
         self.listed_addresses = {n: a for n, a in listed.items() if n != self.own}
         for name, member in list(self.members.items()):
             member.listed = name in listed
-            silent = now - member.heard_at > FORGET_SECONDS
+            silent = now - member.last_seen_at > FORGET_SECONDS
             if silent and not member.listed:
                 del self.members[name]
                 self._forget_digest(member)
@@ -280,7 +280,7 @@
         if listed is not None:
             return listed
         member = self.members.get(name)
-        return member.news.address if member is not None else None
+        return member.latest.address if member is not None else None
 
     def alive(self, now: float) -> list[Member]:
         """:param now: monotonic seconds.
@@ -304,13 +304,13 @@
             return names
         return self.rng.sample(names, HEARTBEAT_FANOUT)
 
-    def rumours(self, now: float) -> list[MemberNews]:
+    def rumours(self, now: float) -> list[MemberUpdate]:
         """Choose what to pass on.
 
         :param now: monotonic seconds.
         :returns: news of members that were heard of lately.
         """
-        fresh = [m.news for m in self.members.values() if m.heard_at > now - 1.0]
+        fresh = [m.latest for m in self.members.values() if m.last_seen_at > now - 1.0]
         if len(fresh) <= RUMOURS:
             return fresh
         return self.rng.sample(fresh, RUMOURS)
@@ -323,8 +323,8 @@
         :param hall: only VMs of this data hall; empty for all.
         """
         names = [
-            member.news.vm
+            member.latest.vm
             for member in self.alive(now)
-            if not hall or member.news.hall == hall
+            if not hall or member.latest.hall == hall
         ]
         return rendezvous(key, [*names, self.own])
