--- a/walnutquay/coordination/own/billkeepers.py
+++ b/walnutquay/coordination/own/billkeepers.py
@@ -99,6 +99,6 @@
         """
         alive = self.members.table.alive(monotonic())
         return any(
-            member.latest.vm == peer and member.news.incarnation == incarnation
+            member.latest.vm == peer and member.latest.incarnation == incarnation
             for member in alive
         )
