--- a/tests/state/fleet/test_membership.py
+++ b/tests/state/fleet/test_membership.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Membership: what heartbeats, rumours and digests make a VM believe."""
+"""Membership: the view that a VM builds from heartbeats, rumours and digests."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 DEAD = "vm-0"
 
 
-def news(name: str, counter: int = 1, incarnation: str = "1", **more) -> MemberUpdate:
-    """:returns: news of a VM."""
+def update(name: str, counter: int = 1, incarnation: str = "1", **more) -> MemberUpdate:
+    """Return an update on a VM."""
     fields = {
         "hall": "h",
         "revision": 1,
@@ -36,66 +36,66 @@
     return MemberUpdate(vm=name, incarnation=incarnation, counter=counter, **fields)
 
 
-# what is heard of vm-b at times 0, 1, 2 ... -> its state at time 5, its counter
-HEARD = [
-    ([news("vm-b", 1)], MemberState.SILENT, 1),
-    ([news("vm-b", 1), news("vm-b", 2)], MemberState.ALIVE, 2),
-    # A repeat, or something older, is no news.
-    ([news("vm-b", 2), news("vm-b", 2), news("vm-b", 1)], MemberState.SILENT, 2),
-    # A later start counts from anew; what an earlier one said comes too late.
-    ([news("vm-b", 9), news("vm-b", 1, "2")], MemberState.ALIVE, 1),
-    ([news("vm-b", 1, "2"), news("vm-b", 9, "1")], MemberState.SILENT, 1),
-    ([news("vm-b", 1), news("vm-b", 2, leaving=True)], MemberState.LEAVING, 2),
+# updates on vm-b received at times 0, 1, 2 ... -> its state at time 5, its counter
+RECEIVED = [
+    ([update("vm-b", 1)], MemberState.SILENT, 1),
+    ([update("vm-b", 1), update("vm-b", 2)], MemberState.ALIVE, 2),
+    # Repeated and older updates have no effect.
+    ([update("vm-b", 2), update("vm-b", 2), update("vm-b", 1)], MemberState.SILENT, 2),
+    # A later start counts again from 1; updates of an earlier start are outdated.
+    ([update("vm-b", 9), update("vm-b", 1, "2")], MemberState.ALIVE, 1),
+    ([update("vm-b", 1, "2"), update("vm-b", 9, "1")], MemberState.SILENT, 1),
+    ([update("vm-b", 1), update("vm-b", 2, leaving=True)], MemberState.LEAVING, 2),
 ]
 
 
 class MemberTableTest(unittest.TestCase):
-    """One VM's view."""
+    """The view of one VM."""
 
     def table(self) -> MemberTable:
-        """:returns: the view of vm-a."""
+        """Return the view of vm-a."""
         return MemberTable("vm-a", random.Random(1))
 
-    def test_table(self):
-        for heard, state, counter in HEARD:
-            with self.subTest(heard=heard):
+    def test_updates(self):
+        for received, state, counter in RECEIVED:
+            with self.subTest(received=received):
                 table = self.table()
-                for at, item in enumerate(heard):
+                for at, item in enumerate(received):
                     table.receive(item, float(at))
                 member = table.members["vm-b"]
                 self.assertEqual(table.state_of(member, 5.0), state)
                 self.assertEqual(member.counter, counter)
 
-    def test_a_digest_keeps_a_member_alive_and_news_still_count(self):
+    def test_digest_keeps_member_alive_and_later_update_is_applied(self):
         table = self.table()
-        table.receive(news("vm-b", 1), 0.0)
+        table.receive(update("vm-b", 1), 0.0)
         digest = digest_of("vm-b", "1") << 32 | 7
         table.receive_digests([digest, 12345], 4.0)
         member = table.members["vm-b"]
         self.assertIs(table.state_of(member, 5.0), MemberState.ALIVE)
-        # Heartbeat 5 was overtaken by the digest, its revision was not.
-        self.assertTrue(table.receive(news("vm-b", 5, revision=3), 5.0))
+        # The digest has a newer counter than heartbeat 5, but no revision.
+        self.assertTrue(table.receive(update("vm-b", 5, revision=3), 5.0))
         self.assertEqual((member.latest.revision, member.counter), (3, 7))
 
-    def test_a_digest_of_an_earlier_start_says_nothing_of_this_one(self):
+    def test_digest_of_earlier_start_is_ignored(self):
         table = self.table()
-        table.receive(news("vm-b", 500, "1"), 0.0)
-        table.receive(news("vm-b", 1, "2"), 1.0)
+        table.receive(update("vm-b", 500, "1"), 0.0)
+        table.receive(update("vm-b", 1, "2"), 1.0)
         table.receive_digests([digest_of("vm-b", "1") << 32 | 501], 2.0)
-        table.receive(news("vm-b", 2, "2"), 3.0)
+        table.receive(update("vm-b", 2, "2"), 3.0)
         self.assertEqual(table.members["vm-b"].counter, 2)
         self.assertEqual(table.members["vm-b"].last_seen_at, 3.0)
 
-    def test_the_list_goes_before_what_vms_say(self):
+    def test_vm_list_takes_precedence_over_updates(self):
         table = self.table()
-        table.receive(news("vm-b"), 0.0)
+        table.receive(update("vm-b"), 0.0)
         self.assertEqual(table.address("vm-b"), Address("127.0.0.1", 1))
         table.apply_list({"vm-b": Address("127.0.0.1", 2)}, 0.0)
         self.assertEqual(table.address("vm-b"), Address("127.0.0.1", 2))
         table.apply_list({}, 1000.0)
         self.assertEqual(table.members, {})
 
-    def test_all_rank_alike_and_a_loss_moves_only_its_own(self):
+    def test_ranking_ignores_order_and_removal_moves_only_keys_of_that_vm(self):
         names = [f"vm-{n}" for n in range(7)]
         keys = [f"key-{n}" for n in range(300)]
         first = {key: rendezvous(key, names)[0] for key in keys}
@@ -108,7 +108,7 @@
 
 
 class LargeFleetTest(unittest.TestCase):
-    """Views that exchange heartbeats, more of them than one round reaches."""
+    """Views that exchange heartbeats in a fleet too large for one round to reach."""
 
     def setUp(self):
         self.now = 0.0
@@ -119,16 +119,16 @@
         }
         for table in self.tables.values():
             for name in self.counters:
-                table.receive(news(name, 0), 0.0)
+                table.receive(update(name, 0), 0.0)
 
     def round(self, dead: str = "") -> None:
-        """Let each VM send its heartbeats once."""
+        """Send one heartbeat round of each VM."""
         self.now += 1.0
         for name, table in self.tables.items():
             if name == dead:
                 continue
             self.counters[name] += 1
-            own = news(name, self.counters[name])
+            own = update(name, self.counters[name])
             rumours, digests = table.rumours(self.now), table.digests(self.now)
             for target in table.targets():
                 if target == dead:
@@ -138,8 +138,8 @@
                 for item in (own, *rumours):
                     other.receive(replace(item), self.now)
 
-    def believed(self, state: MemberState) -> set[str]:
-        """:returns: VMs that some other believes to be in a state."""
+    def vms_seen_as(self, state: MemberState) -> set[str]:
+        """Return the VMs that at least one other VM sees in a state."""
         return {
             member.latest.vm
             for name, table in self.tables.items()
@@ -148,36 +148,36 @@
             if table.state_of(member, self.now) is state
         }
 
-    def test_the_living_are_never_silent_and_the_dead_soon_are(self):
+    def test_live_vms_are_never_silent_and_dead_vm_soon_is(self):
         for _ in range(12):
             self.round()
-            self.assertEqual(self.believed(MemberState.SILENT), set())
+            self.assertEqual(self.vms_seen_as(MemberState.SILENT), set())
         limit = self.tables["vm-1"].silent_after()
         self.assertLess(limit, 3 * SILENT_SECONDS)
         for _ in range(int(limit) + 4):
             self.round(dead=DEAD)
-            self.assertLessEqual(self.believed(MemberState.SILENT), {DEAD})
-        self.assertNotIn(DEAD, self.believed(MemberState.ALIVE))
+            self.assertLessEqual(self.vms_seen_as(MemberState.SILENT), {DEAD})
+        self.assertNotIn(DEAD, self.vms_seen_as(MemberState.ALIVE))
 
 
-# where a VM stands, where another stands -> how far that is
+# hall and region of a VM, those of another VM -> the distance
 DISTANCES = [
     (("hall-a", "north"), ("hall-a", "north"), Distance.OWN_HALL),
     (("hall-a", "north"), ("hall-b", "north"), Distance.OTHER_HALL),
     (("hall-a", "north"), ("hall-c", "south"), Distance.OTHER_REGION),
-    # Two regions may name their halls alike.
+    # Halls of two regions may have the same name.
     (("hall-a", "north"), ("hall-a", "south"), Distance.OTHER_REGION),
 ]
 
 
 class DistanceTest(unittest.TestCase):
-    """Copies go to another hall of the region, else to another region."""
+    """Copies are stored in another hall of the region, else in another region."""
 
-    def test_table(self):
+    def test_distances(self):
         for own, other, expected in DISTANCES:
             with self.subTest(own=own, other=other):
-                told = news("vm-2", hall=other[0], region=other[1])
-                self.assertIs(distance(*own, told), expected)
+                reported = update("vm-2", hall=other[0], region=other[1])
+                self.assertIs(distance(*own, reported), expected)
 
-    def test_the_own_hall_is_the_last_resort(self):
+    def test_own_hall_is_last_choice(self):
         self.assertIs(list(Distance)[-1], Distance.OWN_HALL)
--- a/walnutquay/state/fleet/__init__.py
+++ b/walnutquay/state/fleet/__init__.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Which entry VMs there are, and which of them does what is done once.
+"""The membership of the fleet, and the choice of the VM for tasks that are done once.
 
-Decided from the places that VMs tell of themselves, alike at each of them.
+Both are computed from what VMs report about themselves, in the same way at each VM.
 """
--- a/walnutquay/state/fleet/membership.py
+++ b/walnutquay/state/fleet/membership.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What a VM believes of the other entry VMs, and the duties that follow."""
+"""One VM's view of the other entry VMs, built from gossip, and the ranking of VMs."""
 
 from __future__ import annotations
 
@@ -13,29 +13,32 @@
 
 from walnutquay.state.process.ids import HallName, Incarnation, MemberState, VmName
 
-# Heartbeats go to this many members a round; with no more members than that,
-# each hears every other directly, and beyond it news spreads by rumour.
+# The number of members that a heartbeat is sent to in each round.  Up to this many
+# members, each VM receives the heartbeats of all others directly; in larger fleets
+# updates spread by gossip.
 HEARTBEAT_FANOUT = 6
-# Members whose whole news each heartbeat passes on.
+# The number of members whose full updates each heartbeat forwards.
 RUMOURS = 2
-# Members of which each heartbeat says, in eight bytes, that they were heard.
+# The number of members whose newest heartbeat counters each heartbeat forwards, as
+# digests of eight bytes each.
 DIGESTS = 100
 SILENT_SECONDS = 4.0
-# In a large fleet a member is heard of again, on average, once in so many
-# heartbeats; it is silent after this many times that (e^-10 of them in error).
+# In a large fleet, the mean time between two updates on a member grows with the number
+# of members.  The limit for silence grows by this multiple of that mean time, after
+# which a live member is taken as silent with a probability of e^-10.
 SILENT_REFRESHES = 10
 COUNTER_BITS = 32
 COUNTER_MASK = (1 << COUNTER_BITS) - 1
-# A member that is off the list and silent is forgotten after this long.
+# A member that is not on the VM list is removed after this time without an update.
 FORGET_SECONDS = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """Where a VM listens to its peers.
+    """The address at which a VM receives messages of its peers.
 
-    :param host: an IP number.
-    :param port: the port of both its datagrams and its streams.
+    :param host: the IP address.
+    :param port: the port, used for both datagrams and streams.
     """
 
     host: str
@@ -44,10 +47,10 @@
 
 @dataclass(frozen=True, slots=True)
 class VmLocation:
-    """Where a VM is.
+    """The address and the data hall of a VM.
 
-    :param address: where it listens to its peers.
-    :param hall: the data hall that it stands in.
+    :param address: the address for its peers.
+    :param hall: its data hall.
     """
 
     address: Address
@@ -56,17 +59,17 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberUpdate:
-    """What a VM says of itself, or is passed on of it.
+    """The state of a VM, as reported by the VM itself or forwarded by another one.
 
     :param vm: its name.
     :param incarnation: changes with each start of its process.
     :param hall: its data hall.
-    :param counter: counts its heartbeats; a greater one is newer.
-    :param revision: the configuration that it has in force.
+    :param counter: the number of its heartbeats; a greater one is newer.
+    :param revision: the revision of the configuration that is in force there.
     :param leaving: whether it is stopping.
-    :param address: where it listens to its peers.
+    :param address: the address for its peers.
     :param administration: the port of its administration API.
-    :param confirmed_age: seconds since it last knew its revision to be newest.
+    :param confirmed_age: seconds since its revision was last confirmed as the newest.
     :param region: the region of its data hall.
     """
 
@@ -84,13 +87,12 @@
 
 @dataclass(slots=True)
 class Member:
-    """What is believed of one VM.
+    """The view of one VM.
 
-    :param latest: the newest update that was received of it.
-    :param last_seen_at: when it was last heard of anew; monotonic seconds.
-    :param counter: its newest heartbeat that was heard of, in whole or as a
-        digest.
-    :param listed: whether the platform's VM list has it.
+    :param latest: the newest update on it.
+    :param last_seen_at: the time at which its counter last advanced; monotonic seconds.
+    :param counter: its newest known heartbeat counter, from an update or a digest.
+    :param listed: whether it is on the platform's VM list.
     """
 
     latest: MemberUpdate
@@ -99,9 +101,10 @@
     listed: bool = False
 
     def state(self, now: float, silent_after: float = SILENT_SECONDS) -> MemberState:
-        """:param now: monotonic seconds.
+        """Return the state of the VM.
 
-        :param silent_after: seconds without news after which it is silent.
+        :param now: monotonic seconds.
+        :param silent_after: seconds without an update after which the VM is silent.
         """
         if self.latest.leaving:
             return MemberState.LEAVING
@@ -111,29 +114,31 @@
 
 
 def digest_of(vm: str, incarnation: str) -> int:
-    """:param vm: a VM's name.
+    """Return the 32-bit hash that identifies an incarnation of a VM in digests.
 
+    :param vm: the VM's name.
     :param incarnation: its incarnation.
-    :returns: 32 bits that stand for both in digests.
     """
     return xxhash.xxh32_intdigest(f"{vm}\n{incarnation}".encode())
 
 
 def rendezvous(key: str, names: Iterable[str]) -> list[str]:
-    """Rank names for a key: every VM with the same names gets the same order.
+    """Rank names for a key by rendezvous hashing.
 
-    :param key: what is to be placed.
-    :param names: where it could go.
-    :returns: the names, first choice first.
+    Every VM that ranks the same names gets the same order.
+
+    :param key: the key to assign.
+    :param names: the candidates.
+    :returns: the names, best candidate first.
     """
     return sorted(names, key=lambda n: xxhash.xxh3_64_intdigest(f"{key}\n{n}".encode()))
 
 
 class Distance(Enum):
-    """How far another VM is, as the keeper of copies; the best one first.
+    """The distance of another VM, in the order of preference for storing copies there.
 
-    A data hall can be lost as a whole, so a copy stands in another one; regions
-    can lose each other, so it is one of the same region where there is one.
+    A whole data hall can fail, so copies are stored in another one.  Regions can lose
+    contact with each other, so a hall of the same region is preferred.
     """
 
     OTHER_HALL = 0
@@ -142,11 +147,11 @@
 
 
 def distance(hall: str, region: str, other: MemberUpdate) -> Distance:
-    """:param hall: a VM's data hall.
+    """Return the distance from one VM to another.
 
-    :param region: its region.
-    :param other: another VM.
-    :returns: how far that is.
+    :param hall: the VM's data hall.
+    :param region: the VM's region.
+    :param other: the other VM.
     """
     if (other.hall, other.region) == (hall, region):
         return Distance.OWN_HALL
@@ -155,11 +160,11 @@
 
 
 class MemberTable:
-    """The other VMs as one VM sees them; itself is not in it.
+    """One VM's view of the other VMs; the VM itself is not in the table.
 
     :param own: this VM's name.
-    :param rng: the source of chance.
-    :param period: seconds between the heartbeats of each VM.
+    :param rng: the source of randomness.
+    :param period: seconds between two heartbeats of a VM.
     """
 
     def __init__(self, own: VmName, rng: random.Random, period: float = 1.0) -> None:
@@ -167,57 +172,57 @@
         self.rng = rng
         self.period = period
         self.members: dict[str, Member] = {}
-        # The name that a digest's upper half stands for.
+        # VM names by the upper half of a digest; see digest_of().
         self.by_digest: dict[int, str] = {}
-        # Where the VM list says that a VM is; it goes before what VMs say.
+        # Addresses by the VM list; they take precedence over those in updates.
         self.listed_addresses: dict[str, Address] = {}
 
-    def receive(self, news: MemberUpdate, now: float) -> bool:
-        """Take in news of a VM, from itself or passed on.
+    def receive(self, update: MemberUpdate, now: float) -> bool:
+        """Apply an update, received from the VM itself or forwarded by another one.
 
-        :param news: the news.
+        :param update: the update.
         :param now: monotonic seconds.
-        :returns: whether it was newer than what was known.
+        :returns: whether it was newer than the latest one.
         """
-        if news.vm == self.own:
+        if update.vm == self.own:
             return False
-        member = self.members.get(news.vm)
+        member = self.members.get(update.vm)
         if member is None:
-            listed = news.vm in self.listed_addresses
-            self._know(Member(news, now, news.counter, listed))
+            listed = update.vm in self.listed_addresses
+            self._add(Member(update, now, update.counter, listed))
             return True
         known = member.latest
-        if news.incarnation < known.incarnation:
-            # Incarnations begin with the time of the start, so they sort.
+        if update.incarnation < known.incarnation:
+            # Incarnations begin with the start time, so they can be compared.
             return False
-        if news.incarnation > known.incarnation:
-            self._know(Member(news, now, news.counter, member.listed))
+        if update.incarnation > known.incarnation:
+            self._add(Member(update, now, update.counter, member.listed))
             return True
-        if news.counter > member.counter:
-            member.counter = news.counter
+        if update.counter > member.counter:
+            member.counter = update.counter
             member.last_seen_at = now
-        if news.counter <= known.counter:
+        if update.counter <= known.counter:
             return False
-        member.latest = news
+        member.latest = update
         return True
 
-    def _know(self, member: Member) -> None:
-        news = member.latest
-        earlier = self.members.get(news.vm)
+    def _add(self, member: Member) -> None:
+        latest = member.latest
+        earlier = self.members.get(latest.vm)
         if earlier is not None:
-            # What is still said of the earlier start must not count for this.
-            self._forget_digest(earlier)
-        self.members[news.vm] = member
-        self.by_digest[digest_of(news.vm, news.incarnation)] = news.vm
+            # Digests of the earlier start must not count for this one.
+            self._remove_digest(earlier)
+        self.members[latest.vm] = member
+        self.by_digest[digest_of(latest.vm, latest.incarnation)] = latest.vm
 
-    def _forget_digest(self, member: Member) -> None:
-        news = member.latest
-        self.by_digest.pop(digest_of(news.vm, news.incarnation), None)
+    def _remove_digest(self, member: Member) -> None:
+        latest = member.latest
+        self.by_digest.pop(digest_of(latest.vm, latest.incarnation), None)
 
     def receive_digests(self, digests: Iterable[int], now: float) -> None:
-        """Take in which members a peer has heard of.
+        """Apply the heartbeat counters that a peer forwards.
 
-        :param digests: as :meth:`digests` gave them.
+        :param digests: the result of :meth:`digests` at the peer.
         :param now: monotonic seconds.
         """
         for digest in digests:
@@ -228,39 +233,40 @@
                 member.last_seen_at = now
 
     def digests(self, now: float) -> list[int]:
-        """Choose of whom to say that they were heard.
+        """Choose the members whose heartbeat counters are forwarded.
 
         :param now: monotonic seconds.
-        :returns: for each, what stands for it and its newest heartbeat.
+        :returns: a digest for each: its hash in the upper half, its counter in the
+            lower half.
         """
         horizon = now - self.silent_after() / 2
         fresh = [m for m in self.members.values() if m.last_seen_at > horizon]
         if len(fresh) > DIGESTS:
             fresh = self.rng.sample(fresh, DIGESTS)
         return [
-            digest_of(m.latest.vm, m.news.incarnation) << COUNTER_BITS
+            digest_of(m.latest.vm, m.latest.incarnation) << COUNTER_BITS
             | m.counter & COUNTER_MASK
             for m in fresh
         ]
 
     def silent_after(self) -> float:
-        """:returns: seconds without news after which a member is silent."""
-        heard_of = HEARTBEAT_FANOUT * (1 + DIGESTS)
-        refresh = len(self.members) / heard_of * self.period
+        """Return the seconds without an update after which a member is silent."""
+        seen_each_period = HEARTBEAT_FANOUT * (1 + DIGESTS)
+        refresh = len(self.members) / seen_each_period * self.period
         return SILENT_SECONDS + SILENT_REFRESHES * refresh
 
     def state_of(self, member: Member, now: float) -> MemberState:
-        """:param member: a member.
+        """Return this VM's view of the state of a member.
 
+        :param member: the member.
         :param now: monotonic seconds.
-        :returns: what this VM believes of it.
         """
         return member.state(now, self.silent_after())
 
     def apply_list(self, listed: dict[str, Address], now: float) -> None:
-        """Take in the platform's list of VMs, which lags.
+        """Apply the platform's list of VMs, which may lag behind the fleet.
 
-        :param listed: address by VM name.
+        :param listed: the addresses by VM name.
         :param now: monotonic seconds.
         """
         self.listed_addresses = {n: a for n, a in listed.items() if n != self.own}
@@ -269,12 +275,12 @@
             silent = now - member.last_seen_at > FORGET_SECONDS
             if silent and not member.listed:
                 del self.members[name]
-                self._forget_digest(member)
+                self._remove_digest(member)
 
     def address(self, name: str) -> Address | None:
-        """:param name: a VM's name.
+        """Return the address of a VM, or None if it is not known.
 
-        :returns: where to send to it, or None where that is not known.
+        :param name: the VM's name.
         """
         listed = self.listed_addresses.get(name)
         if listed is not None:
@@ -283,9 +289,9 @@
         return member.latest.address if member is not None else None
 
     def alive(self, now: float) -> list[Member]:
-        """:param now: monotonic seconds.
+        """Return the members that are neither silent nor leaving.
 
-        :returns: the members that are heard and not leaving.
+        :param now: monotonic seconds.
         """
         silent_after = self.silent_after()
         return [
@@ -295,9 +301,9 @@
         ]
 
     def targets(self) -> list[str]:
-        """Choose whom to send this round's heartbeat to.
+        """Choose the recipients of this round's heartbeat.
 
-        :returns: names; all known ones where they are few.
+        :returns: the names; all known ones in a small fleet.
         """
         names = sorted({*self.members, *self.listed_addresses})
         if len(names) <= HEARTBEAT_FANOUT:
@@ -305,10 +311,10 @@
         return self.rng.sample(names, HEARTBEAT_FANOUT)
 
     def rumours(self, now: float) -> list[MemberUpdate]:
-        """Choose what to pass on.
+        """Choose the updates to forward.
 
         :param now: monotonic seconds.
-        :returns: news of members that were heard of lately.
+        :returns: the latest updates on members that were seen recently.
         """
         fresh = [m.latest for m in self.members.values() if m.last_seen_at > now - 1.0]
         if len(fresh) <= RUMOURS:
@@ -316,11 +322,11 @@
         return self.rng.sample(fresh, RUMOURS)
 
     def ranked(self, key: str, now: float, hall: str = "") -> list[str]:
-        """Rank the live VMs, this one among them, for a duty.
+        """Rank the live VMs, including this one, for a task.
 
-        :param key: the duty.
+        :param key: the name of the task.
         :param now: monotonic seconds.
-        :param hall: only VMs of this data hall; empty for all.
+        :param hall: only rank VMs of this data hall; empty for all data halls.
         """
         names = [
             member.latest.vm
