--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -298,7 +298,7 @@
     Mutation(
         "list of VMs: those that are lost for good are taken out",
         "coordination/fleet/absentees.py",
-        "return often and now - absence.since >= ABSENT_SECONDS",
+        "return enough_checks and now - absence.since >= ABSENT_SECONDS",
         "return False",
         "tests.coordination.fleet.test_absentees.TakingOutTest.test_those_that_were_lost_go",
     ),
--- a/walnutquay/coordination/fleet/__init__.py
+++ b/walnutquay/coordination/fleet/__init__.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The other entry VMs of the platform: which there are, and how they are reached.
+"""The other entry VMs of the platform: which ones there are, and messages to them.
 
-It owns the list of VMs; it hears of VMs that come and go, and tells whoever asks.
+It maintains the list of VMs as VMs join and leave, and serves it to other VMs.
 """
--- a/walnutquay/coordination/fleet/absentees.py
+++ b/walnutquay/coordination/fleet/absentees.py
@@ -1,10 +1,11 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Takes VMs that were lost for good out of the list of VMs.
+"""Removal of permanently lost VMs from the list of VMs.
 
-One that stops takes itself out; one that loses power does not.  Some 39 a day are lost
-in a fleet of 640: within a month the list would hold more of these than live ones, each
-of them told all news, asked for lists and chosen to watch the store.
+A VM that stops removes its own entry, but one that loses power does not.  A fleet of
+640 VMs loses some 39 a day: within a month the list would have more lost VMs than live
+ones, and each of them would be sent all updates, queried for lists and chosen to watch
+the store.
 """
 
 from __future__ import annotations
@@ -27,15 +28,15 @@
 
 log = logbook.Logger(__name__)
 
-# How often a VM asks those that it checks whether they live.
+# The interval at which a VM checks whether its assigned VMs are alive.
 CHECK_SECONDS = 30.0
-# A peer of the same data hall answers within some milliseconds.
+# Peers of the same data hall answer within a few milliseconds.
 ANSWER_SECONDS = 1.0
-# One that was not reached for so long is taken out: it is back sooner from a restart or
-# a fault of the network in its data hall.  Should it live it enters again by itself.
+# A VM that has been unreachable for this long is removed.  Restarts, and network faults
+# in its data hall, take less time.  If it is still alive, it adds its entry again.
 ABSENT_SECONDS = 300.0
-# VMs of its data hall that check a VM: some of these may be lost too, and three of them
-# at once with it are rare.
+# The number of VMs of the same data hall that check a VM.  Some of them may be lost
+# too, but the loss of all three at the same time as the VM itself is rare.
 CHECKERS = 3
 
 
@@ -43,20 +44,20 @@
 class Absence:
     """A VM that does not answer.
 
-    :param since: when it first did not; monotonic seconds.
-    :param asked: how often it was asked since.
+    :param since: the time of its first failed check; monotonic seconds.
+    :param checks: the number of failed checks in a row.
     """
 
     since: float
-    asked: int = 0
+    checks: int = 0
 
 
 class AbsenceMonitor:
-    """Checks some VMs of this data hall, and takes out of the list those that are gone.
+    """Checks some VMs of this data hall, and removes those that are lost from the list.
 
-    :param context: what this process shares.
+    :param context: the state shared by this process.
     :param peers: the other VMs.
-    :param register: the list in the store.
+    :param register: the list of VMs in the store.
     """
 
     def __init__(self, context: Context, peers: FleetPeers, register: Register) -> None:
@@ -67,21 +68,21 @@
         self.tasks = Tasks()
 
     def start(self) -> None:
-        """Begin to check."""
+        """Start the periodic checks."""
         self.tasks.forever("absent VMs", self._keep_checking)
 
     def stop(self) -> None:
-        """Check no more."""
+        """Stop the periodic checks."""
         self.tasks.stop()
 
     async def _keep_checking(self) -> None:
         while True:
-            # Not all at once: VMs start together.
+            # The jitter spreads the checks of VMs that started together.
             await asyncio.sleep(CHECK_SECONDS * self.context.rng.uniform(0.8, 1.2))
             await self.check()
 
-    def checked(self) -> list[VmName]:
-        """:returns: the VMs that this one checks; all VMs of the hall choose alike."""
+    def assigned(self) -> list[VmName]:
+        """Return the VMs that this one checks; all VMs of the hall agree on them."""
         hall = self.context.hall
         names = [vm for vm, place in self.peers.known.items() if place.hall == hall]
         return [
@@ -91,53 +92,57 @@
         ]
 
     async def check(self) -> None:
-        """Ask those that this VM checks, and take out who was gone for long."""
-        checked = self.checked()
-        answers = await asyncio.gather(*(self._lives(vm) for vm in checked))
+        """Check the assigned VMs, and remove those that were absent for too long."""
+        assigned = self.assigned()
+        answers = await asyncio.gather(*(self._is_alive(vm) for vm in assigned))
         now = monotonic()
         before, self.absent = self.absent, {}
-        for vm, lives in zip(checked, answers, strict=True):
-            if not lives:
+        for vm, alive in zip(assigned, answers, strict=True):
+            if not alive:
                 absence = self.absent[vm] = before.get(vm, Absence(now))
-                absence.asked += 1
-        # Where nobody answers this VM is the one that is cut off.
+                absence.checks += 1
+        # If no VM answers, this VM itself is the one that is cut off.
         if any(answers):
-            for vm in [vm for vm in self.absent if self._is_gone(vm, now)]:
-                await self._take_out(vm, now)
+            for vm in [vm for vm in self.absent if self._is_lost(vm, now)]:
+                await self._remove(vm, now)
 
-    async def _lives(self, vm: VmName) -> bool:
+    async def _is_alive(self, vm: VmName) -> bool:
         try:
-            # Its own list is not wanted, so it is told that it is known.
+            # The matching digest spares the peer from answering with its list.
             await self.peers.call(vm, AskVms(self.peers.digest), ANSWER_SECONDS)
         except PeerError as error:
             log.debug("{} does not answer: {}", vm, error)
             return False
         return True
 
-    def _is_gone(self, vm: VmName, now: float) -> bool:
+    def _is_lost(self, vm: VmName, now: float) -> bool:
         absence = self.absent[vm]
-        # After a suspension of this VM one question may be all that it has asked.
-        often = absence.asked > ABSENT_SECONDS / CHECK_SECONDS / 2.0
-        return often and now - absence.since >= ABSENT_SECONDS
+        # After a suspension of this VM, it may have made a single check in this time.
+        enough_checks = absence.checks > ABSENT_SECONDS / CHECK_SECONDS / 2.0
+        return enough_checks and now - absence.since >= ABSENT_SECONDS
 
-    async def _take_out(self, vm: VmName, now: float) -> None:
+    async def _remove(self, vm: VmName, now: float) -> None:
         absence = self.absent.pop(vm)
         try:
             await self.register.leave(vm)
         except PlatformError as error:
-            log.debug("{} cannot be taken out of the list: {}", vm, error)
+            log.debug("{} could not be removed from the list of VMs: {}", vm, error)
             self.absent[vm] = absence
             return
         self.context.metrics.count("vms_taken_out")
         self.context.timeline.emit(
             EventKind.MEMBER,
-            detail=f"{vm} is taken out of the list: it does not answer",
-            asked=absence.asked,
+            detail=f"{vm} is removed from the list of VMs: it does not answer",
+            asked=absence.checks,
             absent_ms=round((now - absence.since) * 1000.0),
         )
 
 
 def _checkers(vm: VmName, names: list[VmName]) -> list[str]:
-    """Choose the VMs of a data hall that check one of them."""
+    """Choose the VMs of a data hall that check a VM of it.
+
+    :param vm: the VM to check.
+    :param names: all VMs of the data hall.
+    """
     others = [name for name in names if name != vm]
     return rendezvous(f"check {vm}", others)[:CHECKERS]
--- a/walnutquay/coordination/fleet/peers.py
+++ b/walnutquay/coordination/fleet/peers.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The other entry VMs: where they are, and what is asked of and told to them."""
+"""The other entry VMs: their locations, and messages and queries to them."""
 
 from __future__ import annotations
 
@@ -20,31 +20,32 @@
 
 log = logbook.Logger(__name__)
 
-# A peer answers within some milliseconds; one that has not by now is cut off too.
-ASK_SECONDS = 0.4
-# Peers that are asked, one after the other or at once.
-ASKED = 3
-# Peers that a message is sent to; in larger fleets, some drawn anew each time, and so
-# many of them in other data halls.
-TOLD = 12
-TOLD_FAR = 2
-# VMs of each data hall that pass news on between halls: one may be lost or frozen, and
-# what comes twice does no harm.  Every VM ranks alike by the duty.
+# Peers answer within a few milliseconds; one that has not answered by then is cut off.
+QUERY_SECONDS = 0.4
+# The number of peers that are queried, one after the other or concurrently.
+QUERIED_PEERS = 3
+# The number of VMs that a message is sent to.  A larger fleet is sampled for each
+# message, with this many recipients in other data halls.
+MAX_RECIPIENTS = 12
+FAR_RECIPIENTS = 2
+# The number of VMs of each data hall that relay updates between data halls.  There are
+# two because one may be lost or frozen; a duplicate update does no harm.  All VMs rank
+# the relays by the same key, so they agree on the choice.
 RELAYS = 2
 RELAY_DUTY = "pass news on"
-# VMs of one data hall that are told what concerns all of them: in a hall of more, some
-# drawn anew each time, so that a VM reads no more of them in a larger fleet; one is
-# read in 0.02 ms.
-TOLD_IN_HALL = 48
+# The number of VMs of one data hall that are sent a message for all of them.  A larger
+# data hall is sampled for each message, so that a VM does not receive more messages in
+# a larger fleet; reading one takes 0.02 ms.
+MAX_HALL_RECIPIENTS = 48
 
 
 class FleetPeers:
-    """Knows where the other entry VMs are.
+    """The locations of the other entry VMs, and the messages and queries to them.
 
-    :param context: what this process shares.
-    :param node: the sockets to them.
-    :param own: where this VM is reached.
-    :param seeds: where some VMs may be reached before the list is known.
+    :param context: the state shared by this process.
+    :param node: the sockets for messages to other VMs.
+    :param own: the address of this VM for its peers.
+    :param seeds: the addresses of some VMs, used until there is a list of VMs.
     """
 
     def __init__(
@@ -59,58 +60,63 @@
         self.own = own
         all_seeds = list(seeds)
         self.seeds = [address for address in all_seeds if address != own]
-        # Whether others may find this VM before the list is known.
+        # Whether other VMs can find this one before they have a list.
         self.is_seed = len(self.seeds) < len(all_seeds)
-        # Where each VM is, this one among them; see the list of VMs.
+        # The locations of all VMs, including this one; updated by VmList.
         self.known: dict[VmName, VmLocation] = {}
-        # Set when there is a list for the first time.
+        # Set once there is a list of VMs.
         self.listed = asyncio.Event()
-        # The list as it was last written for another VM, and what it was made of.
-        self.written: tuple[dict[VmName, VmLocation], bytes] = ({}, b"")
+        # The known locations that were packed last, and the packed list.
+        self.packed_cache: tuple[dict[VmName, VmLocation], bytes] = ({}, b"")
 
     def addresses(self) -> list[Address]:
-        """:returns: where the other VMs are reached."""
+        """Return the addresses of the other VMs; the seeds until there is a list."""
         others = [
-            place.address for vm, place in self.known.items() if vm != self.context.vm
+            location.address
+            for vm, location in self.known.items()
+            if vm != self.context.vm
         ]
         return others or list(self.seeds)
 
     @property
     def size(self) -> int:
-        """How many entry VMs there are, this one among them."""
-        # Asked several times for each request, so nothing is listed for it.
+        """The number of entry VMs, including this one."""
+        # This is read several times for each request, so it builds no list.
         others = len(self.known) - (self.context.vm in self.known)
         return (others or len(self.seeds)) + 1
 
     def packed(self) -> bytes:
-        """:returns: the list of VMs for another VM; empty where there is none."""
-        made_of, data = self.written
-        if made_of is not self.known:
+        """Return the list of VMs, packed for another VM; empty if there is none."""
+        source, data = self.packed_cache
+        if source is not self.known:
             data = pack_places(self.known) if self.known else b""
-            self.written = (self.known, data)
+            self.packed_cache = (self.known, data)
         return data
 
     @property
     def digest(self) -> int:
-        """What stands for the list of VMs that is known here; 0 for none."""
+        """The hash of the list of VMs; 0 if there is none."""
         data = self.packed()
         return xxhash.xxh3_64_intdigest(data) if data else 0
 
     def send_to_some(self, body: Message) -> None:
-        """Send a message that may be lost, in larger fleets to some VMs only.
+        """Send a message, in larger fleets to a sample of the VMs; it may be lost.
 
-        Most are of this data hall: bytes between halls have a price.
+        Most of the sample is in this data hall, because traffic between data halls is
+        charged for.
 
         :param body: the message.
         """
         addresses = self.addresses()
-        if len(addresses) > TOLD:
+        if len(addresses) > MAX_RECIPIENTS:
             near, far = self._by_hall(self.context.hall)
-            addresses = self._some(near, TOLD - TOLD_FAR) + self._some(far, TOLD_FAR)
+            addresses = self._sample(
+                near, MAX_RECIPIENTS - FAR_RECIPIENTS
+            ) + self._sample(far, FAR_RECIPIENTS)
         self.node.send_all(addresses, body)
 
     def send_to_hall(self, hall: HallName, body: Message) -> None:
-        """Send a message that may be lost to every VM of a data hall.
+        """Send a message to all other VMs of a data hall; it may be lost.
 
         :param hall: the data hall.
         :param body: the message.
@@ -118,177 +124,191 @@
         self.node.send_all(self._by_hall(hall)[0], body)
 
     def send_to_users(self, hall: HallName, body: Message) -> None:
-        """Send a message that may be lost to VMs that use what stands in a data hall.
+        """Send a message to the VMs that use the endpoints of a data hall.
 
-        In small fleets all do; in larger ones mostly those of the hall.  In another
-        hall one VM is told, which passes it on there; see :meth:`relay_in_hall`.
+        In small fleets, all VMs use them; in larger ones, mostly those of the hall.  In
+        another hall, the message goes to one VM, which relays it there; see
+        :meth:`relay_in_hall`.  The message may be lost.
 
         :param hall: the data hall.
         :param body: the message.
         """
         addresses = self.addresses()
-        if len(addresses) > TOLD:
-            most = TOLD_IN_HALL if hall == self.context.hall else 1
-            addresses = self._some(self._by_hall(hall)[0], most)
+        if len(addresses) > MAX_RECIPIENTS:
+            limit = MAX_HALL_RECIPIENTS if hall == self.context.hall else 1
+            addresses = self._sample(self._by_hall(hall)[0], limit)
         self.node.send_all(addresses, body)
 
     def relay_in_hall(self, vm: VmName, body: Message) -> None:
-        """Pass a message on in this hall, which a VM of another one told this VM alone.
+        """Relay a message in this hall that a VM of another hall sent to this VM only.
 
-        Told each of 30 VMs from there it would cross between halls 30 times.
+        If that VM sent it to each of 30 VMs here, it would cross between data halls 30
+        times.
 
-        :param vm: the VM that told it.
-        :param body: the message, as it was told for those who use what stands here.
+        :param vm: the VM that sent it.
+        :param body: the message, sent by :meth:`send_to_users`.
         """
         far = self.hall_of(vm) not in (None, self.context.hall)
-        if far and len(self.addresses()) > TOLD:
+        if far and len(self.addresses()) > MAX_RECIPIENTS:
             near = self._by_hall(self.context.hall)[0]
-            self.node.send_all(self._some(near, TOLD_IN_HALL - 1), body)
+            self.node.send_all(self._sample(near, MAX_HALL_RECIPIENTS - 1), body)
 
     def broadcast_by_relays(self, body: Message) -> None:
-        """Send a message that may be lost to all, in larger fleets by relays.
+        """Send a message to all VMs, in larger fleets through relays; it may be lost.
 
-        Those of the other data halls pass it on there; see :meth:`relay`.
+        The relays of the other data halls forward it there; see :meth:`relay`.
 
         :param body: the message.
         """
-        if self.size <= TOLD + 1:
+        if self.size <= MAX_RECIPIENTS + 1:
             self.broadcast(body)
             return
         self.send_to_hall(self.context.hall, body)
         self.send_to_relays(body)
 
     def relay(self, hall: HallName, body: Message) -> None:
-        """Pass a message of another data hall on, where this VM is a relay.
+        """Forward a message from another data hall in this one, if this VM is a relay.
 
-        :param hall: the hall that it comes from.
-        :param body: the message, as its sender spreads it.
+        :param hall: the data hall of the sender.
+        :param body: the message, sent by :meth:`broadcast_by_relays`.
         """
-        if hall != self.context.hall and self.size > TOLD + 1 and self.is_relay():
+        if (
+            hall != self.context.hall
+            and self.size > MAX_RECIPIENTS + 1
+            and self.is_relay()
+        ):
             self.send_to_hall(self.context.hall, body)
 
     def send_to_other_halls(self, body: Message) -> None:
-        """Send a message that may be lost to every VM of the other data halls.
+        """Send a message to all VMs of the other data halls; it may be lost.
 
         :param body: the message.
         """
         self.node.send_all(self._by_hall(self.context.hall)[1], body)
 
     def send_to_relays(self, body: Message) -> None:
-        """Send a message that may be lost to the relays of the other data halls.
+        """Send a message to the relays of the other data halls; it may be lost.
 
         :param body: the message.
         """
-        halls = {place.hall for place in self.known.values()} - {self.context.hall}
+        halls = {location.hall for location in self.known.values()} - {
+            self.context.hall
+        }
         relays = [self.known[vm] for hall in halls for vm in self._relays_of(hall)]
-        self.node.send_all([place.address for place in relays], body)
+        self.node.send_all([location.address for location in relays], body)
 
     def is_relay(self) -> bool:
-        """:returns: whether this VM passes news on between data halls."""
+        """Return whether this VM relays updates between data halls."""
         return self.context.vm in self._relays_of(self.context.hall)
 
     def is_responsible_for(self, key: str) -> bool:
-        """:param key: a name.
+        """Return whether this VM is the one that does the work for a key.
 
-        :returns: whether this VM, of all, does what is done once for it.
+        All VMs with the same list choose the same one.  Without a list, each VM is
+        responsible itself.
+
+        :param key: the key.
         """
         first = rendezvous(key, self.known)[:1]
         return first in ([], [self.context.vm])
 
     def names_near(self, hall: HallName) -> Collection[VmName]:
-        """:param hall: a data hall.
+        """Return the known VMs of a data hall, or all known VMs if it has none.
 
-        :returns: the VMs of it that are known, or of all halls where it has none; none
-            before there is a list, but in a fleet of one.
+        :param hall: the data hall.
+        :returns: the names; before there is a list, none, or this VM in a fleet of one.
         """
         if not self.known:
             return [] if self.seeds else [self.context.vm]
-        names = [vm for vm, place in self.known.items() if place.hall == hall]
+        names = [vm for vm, location in self.known.items() if location.hall == hall]
         if hall == self.context.hall and self.context.vm not in names:
             names.append(self.context.vm)
         return names or list(self.known)
 
     def hall_of(self, vm: VmName) -> HallName | None:
-        """:param vm: a VM.
+        """Return the data hall of a VM, or None if the VM is not known.
 
-        :returns: the data hall that it stands in; None where the VM is not known.
+        :param vm: the VM.
         """
-        place = self.known.get(vm)
-        return place.hall if place is not None else None
+        location = self.known.get(vm)
+        return location.hall if location is not None else None
 
     def _relays_of(self, hall: HallName) -> list[VmName]:
-        names = [vm for vm, place in self.known.items() if place.hall == hall]
+        names = [vm for vm, location in self.known.items() if location.hall == hall]
         return [VmName(name) for name in rendezvous(RELAY_DUTY, names)[:RELAYS]]
 
     def _by_hall(self, hall: HallName) -> tuple[list[Address], list[Address]]:
-        """Give the other VMs of a data hall, and those of all other halls."""
+        """Return the addresses of the other VMs in a data hall and outside of it."""
         inside, outside = [], []
-        for vm, place in self.known.items():
+        for vm, location in self.known.items():
             if vm != self.context.vm:
-                (inside if place.hall == hall else outside).append(place.address)
+                (inside if location.hall == hall else outside).append(location.address)
         return inside, outside
 
-    def _some(self, addresses: list[Address], most: int) -> list[Address]:
-        if len(addresses) <= most:
+    def _sample(self, addresses: list[Address], count: int) -> list[Address]:
+        if len(addresses) <= count:
             return addresses
-        return self.context.rng.sample(addresses, most)
+        return self.context.rng.sample(addresses, count)
 
     def broadcast(self, body: Message) -> None:
-        """Send a message that may be lost to every other VM.
+        """Send a message to all other VMs; it may be lost.
 
         :param body: the message.
         """
         self.node.send_all(self.addresses(), body)
 
     async def call(self, name: str, body: Message, timeout: float) -> Message:
-        """Ask one VM.
+        """Query one VM.
 
         :param name: the VM.
-        :param body: the question.
-        :param timeout: seconds to wait.
-        :raises PeerError: if no answer comes.
+        :param body: the query.
+        :param timeout: the seconds to wait for the answer.
+        :raises PeerError: if the VM does not answer in time, or is not known.
         """
-        place = self.known.get(VmName(name))
-        if place is None:
+        location = self.known.get(VmName(name))
+        if location is None:
             raise PeerError(
                 "its address is not known", step=type(body).__name__, peer=name
             )
-        return await self.node.call(place.address, body, timeout, name)
+        return await self.node.call(location.address, body, timeout, name)
 
     async def query(self, body: Message) -> Message | None:
-        """Ask some peers, one after the other, until one answers.
+        """Query some peers, one after the other, until one answers.
 
-        :param body: the question.
-        :returns: the answer, or None.
+        :param body: the query.
+        :returns: the answer, or None if no peer answered.
         """
-        return await self.query_each(body, ASK_SECONDS)
+        return await self.query_each(body, QUERY_SECONDS)
 
     async def query_each(self, body: Message, seconds: float) -> Message | None:
-        """Ask some peers, one after the other, each for a short time.
+        """Query some peers, one after the other, with a time limit for each.
 
-        For long answers: of several that are asked at once all would send them.
+        This is for large answers: with concurrent queries, all peers would send them.
 
-        :param body: the question.
-        :param seconds: how long each may take.
-        :returns: the first answer, or None.
+        :param body: the query.
+        :param seconds: the time limit for each peer.
+        :returns: the first answer, or None if no peer answered.
         """
-        for address in self._drawn():
-            answer = await self._ask_one(address, body, seconds)
+        for address in self._choose_peers():
+            answer = await self._query_one(address, body, seconds)
             if answer is not None:
                 return answer
         return None
 
     async def query_any(self, body: Message) -> Message | None:
-        """Ask some peers at once: the wait is short also where some are dark.
+        """Query some peers concurrently, for a short wait even if some are unreachable.
 
-        :param body: the question.
-        :returns: the first answer, or None.
+        :param body: the query.
+        :returns: the first answer, or None if no peer answered.
         """
-        return await self._first_of(self._drawn(), body)
+        return await self._first_of(self._choose_peers(), body)
 
-    async def _first_of(self, asked: list[Address], body: Message) -> Message | None:
+    async def _first_of(
+        self, addresses: list[Address], body: Message
+    ) -> Message | None:
         calls = [
-            asyncio.ensure_future(self._ask_one(address, body)) for address in asked
+            asyncio.ensure_future(self._query_one(address, body))
+            for address in addresses
         ]
         try:
             for call in asyncio.as_completed(calls):
@@ -300,17 +320,17 @@
                 call.cancel()
         return None
 
-    def _drawn(self) -> list[Address]:
-        """Draw the peers to ask."""
+    def _choose_peers(self) -> list[Address]:
+        """Choose random peers to query."""
         addresses = self.addresses()
-        return self.context.rng.sample(addresses, min(ASKED, len(addresses)))
+        return self.context.rng.sample(addresses, min(QUERIED_PEERS, len(addresses)))
 
-    async def _ask_one(
-        self, address: Address, body: Message, seconds: float = ASK_SECONDS
+    async def _query_one(
+        self, address: Address, body: Message, seconds: float = QUERY_SECONDS
     ) -> Message | None:
         try:
             return await self.node.call(address, body, seconds, str(address))
         except PeerError as error:
             self.context.metrics.count("peer_calls_failed")
-            log.debug("a peer did not answer: {}", error)
+            log.debug("a peer did not answer a query: {}", error)
             return None
--- a/walnutquay/coordination/fleet/register.py
+++ b/walnutquay/coordination/fleet/register.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The list of entry VMs in the store, as the fleet uses it."""
+"""The interface to the list of entry VMs in the store."""
 
 from __future__ import annotations
 
@@ -14,13 +14,17 @@
     """The list of entry VMs in the store."""
 
     async def enter(self, vm: VmName, place: VmLocation) -> None:
-        """:param vm: this VM.
+        """Add or replace the entry of a VM.
 
-        :param place: where its peers reach it.
+        :param vm: this VM.
+        :param place: its address for peers, and its data hall.
         """
 
     async def leave(self, vm: VmName) -> None:
-        """:param vm: this VM."""
+        """Remove the entry of a VM.
+
+        :param vm: the VM.
+        """
 
     async def read(self) -> dict[VmName, VmLocation]:
-        """:returns: where each VM is."""
+        """Return the location of each VM."""
--- a/walnutquay/coordination/fleet/vmlist.py
+++ b/walnutquay/coordination/fleet/vmlist.py
@@ -1,10 +1,10 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The list of entry VMs: how this VM enters it, and how it hears of the others.
+"""The list of entry VMs: this VM's entry in it, and updates on the other VMs.
 
-Calls to the store have a price, so it is written once for each VM that is new, and
-read by the VMs that watch it.  The others ask these, and whoever comes or goes says so
-to all.
+The store charges for each call.  Therefore each new VM writes its entry once, and only
+the VMs that watch the store read the list.  The others query these VMs, and each VM
+that joins or leaves announces it to all.
 """
 
 from __future__ import annotations
@@ -33,46 +33,46 @@
 
 log = logbook.Logger(__name__)
 
-# All VMs of a fleet start within 0.3 s, and the list of them is read when they have.
+# All VMs of a fleet start within 0.3 s; the list is first read after that.
 FIRST_READ_SECONDS = 0.8
-# The list is read again so soon after the first time, when the slowest VMs of a fleet
-# that starts have entered it too, and then at longer intervals.
+# The interval between the first and the second read, by which the slowest VMs of a
+# starting fleet have entered the list too; then that between later reads.
 SECOND_READ_SECONDS = 2.0
 READ_SECONDS = 10.0
 RETRY_SECONDS = 1.0
-# How long the seeds are asked for the first list, where they had none as this VM
-# started: they read it in the store, and so do the others then.
+# The time for which the seeds are queried for the first list, if they had none when
+# this VM started.  They read it from the store; after this time, so does this VM.
 FIRST_LIST_SECONDS = 0.4
 FIRST_LIST_PAUSE = 0.05
-# How long what a VM says of itself goes before lists: these are read every 10 s, by two
-# VMs one after the other, and the store may give one that is some seconds old.
-NEWS_SECONDS = 2.0 * READ_SECONDS + 5.0
+# The time for which a VM's announcement takes precedence over lists.  A list is read
+# every 10 s, passes through two VMs, and may be some seconds old in the store.
+ANNOUNCEMENT_SECONDS = 2.0 * READ_SECONDS + 5.0
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
-    """What a VM has said of itself.
+class Announcement:
+    """An announcement of a VM that it has joined or left.
 
-    :param at: when; monotonic seconds.
-    :param place: where it is, or was.
-    :param left: the process that has left, if one has.
+    :param at: the time at which it was received; monotonic seconds.
+    :param location: the current or last location of the VM.
+    :param left: the incarnation that has left; None if the VM is in the fleet.
     """
 
     at: float
-    place: VmLocation
+    location: VmLocation
     left: str | None = None
 
 
 class VmList:
-    """Keeps this VM in the list of VMs, and what is known of the others up to date.
+    """Keeps this VM in the list of VMs, and its own copy of the list up to date.
 
-    :param context: what this process shares.
+    :param context: the state shared by this process.
     :param peers: the other VMs.
     :param register: the list in the store.
-    :param watchers: which VMs watch the store.
-    :param starting: what another VM tells this one as it starts.
-    :param first_start: whether the whole fleet starts for the first time: nobody has
-        a list yet.
+    :param watchers: the VMs that watch the store.
+    :param bootstrap: the lists of another VM at the start of this one.
+    :param first_start: whether the whole fleet starts for the first time, so that no
+        VM has a list yet.
     """
 
     def __init__(
@@ -81,48 +81,49 @@
         peers: FleetPeers,
         register: Register,
         watchers: Watchers,
-        starting: Bootstrap,
+        bootstrap: Bootstrap,
         first_start: bool,
     ) -> None:
         self.context = context
         self.peers = peers
         self.register = register
         self.watchers = watchers
-        self.starting = starting
+        self.bootstrap = bootstrap
         self.first_start = first_start
-        # What VMs have said of themselves lately, which lists may not show yet.
-        self.news: dict[VmName, Heard] = {}
-        # When this VM last wrote its entry; monotonic seconds.
+        # Recent announcements of VMs, which lists may not include yet.
+        self.announcements: dict[VmName, Announcement] = {}
+        # The time at which this VM last wrote its entry; monotonic seconds.
         self.entered_at = float("-inf")
-        self.absentees = AbsenceMonitor(context, peers, register)
+        self.absence_monitor = AbsenceMonitor(context, peers, register)
         self.tasks = Tasks()
 
     def start(self) -> None:
-        """Enter this VM into the list, and keep reading it."""
-        self.tasks.forever("list of VMs", self._keep_up)
-        self.absentees.start()
+        """Add this VM to the list, and start reading the list periodically."""
+        self.tasks.forever("list of VMs", self._keep_updated)
+        self.absence_monitor.start()
 
     async def stop(self) -> None:
-        """Take this VM out of the list."""
+        """Remove this VM from the list, and announce that it leaves."""
         self.tasks.stop()
-        self.absentees.stop()
-        self._tell(leaving=True)
+        self.absence_monitor.stop()
+        self._announce(leaving=True)
         try:
             await self.register.leave(self.context.vm)
         except PlatformError as error:
-            log.warn("this VM's entry is left behind: {}", error)
+            log.warn("this VM's entry could not be removed from the list: {}", error)
 
     @property
     def own(self) -> VmLocation:
-        """Where this VM is reached."""
+        """The location of this VM."""
         return VmLocation(self.peers.own, self.context.hall)
 
-    # What the other VMs ask and tell.
+    # Messages of other VMs.
 
     def answer(self, envelope: Envelope) -> VmsAre:
-        """:param envelope: a question for the list.
+        """Answer a query for the list.
 
-        :returns: what is known here.
+        :param envelope: the query.
+        :returns: the list, or an empty message if the sender has the same one.
         """
         body = envelope.body
         assert isinstance(body, AskVms)
@@ -131,47 +132,50 @@
         return VmsAre(self.peers.packed())
 
     def receive(self, envelope: Envelope) -> None:
-        """Take in that a VM has come or goes.
+        """Apply an announcement of a VM that has joined or is leaving.
 
-        :param envelope: what it says of itself.
+        :param envelope: the announcement.
         """
         body = envelope.body
         assert isinstance(body, VmNews)
         left = body.incarnation if body.leaving else None
-        self._note(body.row.vm, Heard(monotonic(), body.row.place, left))
+        self._record(body.row.vm, Announcement(monotonic(), body.row.place, left))
         if envelope.vm == body.row.vm:
             self.peers.relay(body.row.place.hall, body)
 
     def detect_restart(self, envelope: Envelope) -> None:
-        """Take in that a VM lives which is held to have left: it has started again.
+        """Add a VM again that is treated as having left, but has been restarted.
 
-        What it says of that may be lost, and it would be told no news until the list
-        is believed again.
+        Its announcement may be lost.  Without this, it would be sent no updates until
+        the list takes precedence again.
 
-        :param envelope: any message of it.
+        :param envelope: any message of the VM.
         """
-        heard = self.news.get(VmName(envelope.vm))
-        if heard is None or heard.left in (None, envelope.incarnation):
+        announcement = self.announcements.get(VmName(envelope.vm))
+        if announcement is None or announcement.left in (None, envelope.incarnation):
             return
-        self._note(VmName(envelope.vm), Heard(monotonic(), heard.place))
+        self._record(
+            VmName(envelope.vm), Announcement(monotonic(), announcement.location)
+        )
 
-    def _note(self, vm: VmName, heard: Heard) -> None:
-        self.news[vm] = heard
+    def _record(self, vm: VmName, announcement: Announcement) -> None:
+        self.announcements[vm] = announcement
         if self.peers.known:
             self.apply(self.peers.known)
 
-    # Keeping up.
+    # Updates of the list.
 
-    async def _keep_up(self) -> None:
+    async def _keep_updated(self) -> None:
         if self.first_start:
             await self._enter_if_missing()
             await asyncio.sleep(FIRST_READ_SECONDS)
         from_store = await self._read()
         await self._enter_if_missing()
         if from_store and not self.first_start:
-            # The others may hold that it has left though its entry is there, which
-            # stays where the store could not be told.  Their own lists would lack it.
-            self._tell(leaving=False)
+            # The entry remains if this VM could not remove it from the store when it
+            # stopped.  The others may then still treat this VM as having left, and
+            # lack it in their lists.
+            self._announce(leaving=False)
         for seconds in self._pauses():
             await asyncio.sleep(seconds)
             await self._read()
@@ -179,99 +183,101 @@
 
     def _pauses(self) -> Iterator[float]:
         yield SECOND_READ_SECONDS
-        # Not all at once, for they ask the same few VMs.
+        # Intervals differ between VMs, because all of them query the same few VMs.
         yield from itertools.repeat(READ_SECONDS * self.context.rng.uniform(0.8, 1.0))
 
     async def _read(self) -> bool:
-        """Read the list, at a VM that knows it or in the store.
+        """Read the list from another VM, or from the store.
 
-        :returns: whether it comes from the store.
+        :returns: whether it was read from the store.
         """
-        if await self._hear_list():
+        if await self._read_from_peers():
             return False
         try:
             self.apply(await self.register.read())
         except PlatformError as error:
-            log.debug("the list of VMs could not be read: {}", error)
+            log.debug("the list of VMs could not be read from the store: {}", error)
             return False
         return True
 
-    async def _hear_list(self) -> bool:
-        """Ask a VM that reads the store for the list.
+    async def _read_from_peers(self) -> bool:
+        """Query a VM that reads the store for the list.
 
-        :returns: whether there is one now.
+        :returns: whether there is an up-to-date list now.
         """
         if self.peers.known:
             if self.watchers.includes_this():
                 return False
             answer = await self.watchers.query_near(AskVms(self.peers.digest))
-            return isinstance(answer, VmsAre) and self._take_told(answer.data)
+            return isinstance(answer, VmsAre) and self._apply_packed(answer.data)
         if self.peers.is_seed or not self.peers.seeds:
             return False
-        told = await self.starting.get()
-        if told is not None and told.vms:
-            return self._take_told(told.vms)
+        lists = await self.bootstrap.get()
+        if lists is not None and lists.vms:
+            return self._apply_packed(lists.vms)
         end = monotonic() + FIRST_LIST_SECONDS
         while monotonic() < end:
             answer = await self.peers.query_any(AskVms())
             if isinstance(answer, VmsAre) and answer.data:
-                return self._take_told(answer.data)
+                return self._apply_packed(answer.data)
             await asyncio.sleep(FIRST_LIST_PAUSE)
         return False
 
-    def _take_told(self, data: bytes) -> bool:
-        """Take over another VM's list, unless it is the same.
+    def _apply_packed(self, data: bytes) -> bool:
+        """Apply another VM's list; it is empty if it is the same as this VM's.
 
-        :returns: whether it could be read.
+        :returns: whether it could be decoded.
         """
         if not data:
             return True
         try:
             self.apply(unpack_places(data))
         except MessageError as error:
-            log.warn("a peer's list of VMs is not taken over: {}", error)
+            log.warn(
+                "a peer's list of VMs could not be decoded; it is ignored: {}", error
+            )
             return False
         return True
 
     async def _enter_if_missing(self) -> None:
-        """Write this VM's entry, unless the others have it as it is."""
+        """Write this VM's entry, unless the list has it already."""
         if self.peers.known.get(self.context.vm) == self.own:
             return
-        if monotonic() < self.entered_at + NEWS_SECONDS:
-            # It was written; the lists that were read are older.
+        if monotonic() < self.entered_at + ANNOUNCEMENT_SECONDS:
+            # The entry has been written; the lists read since then are older.
             return
         while True:
             try:
                 await self.register.enter(self.context.vm, self.own)
                 break
             except PlatformError as error:
-                log.debug("this VM is not in the list yet: {}", error)
+                log.debug("this VM could not be added to the list; retrying: {}", error)
                 await asyncio.sleep(RETRY_SECONDS)
         self.entered_at = monotonic()
-        self._note(self.context.vm, Heard(self.entered_at, self.own))
+        self._record(self.context.vm, Announcement(self.entered_at, self.own))
         if self.peers.known:
-            self._tell(leaving=False)
+            self._announce(leaving=False)
 
-    def _tell(self, leaving: bool) -> None:
-        """Tell all VMs that this one comes or goes."""
+    def _announce(self, leaving: bool) -> None:
+        """Announce to all VMs that this one has joined or is leaving."""
         row = VmRow(self.context.vm, self.own)
         self.peers.broadcast_by_relays(VmNews(row, leaving, self.context.incarnation))
 
     def apply(self, listed: dict[VmName, VmLocation]) -> None:
-        """Take over a list, but for what VMs have said of themselves since.
+        """Apply a list, corrected by the recent announcements of VMs.
 
-        :param listed: where each VM is.
+        :param listed: the location of each VM.
         """
         now = monotonic()
-        self.news = {
-            vm: heard
-            for vm, heard in self.news.items()
-            if now < heard.at + NEWS_SECONDS
+        self.announcements = {
+            vm: announcement
+            for vm, announcement in self.announcements.items()
+            if now < announcement.at + ANNOUNCEMENT_SECONDS
         }
         merged = dict(listed)
-        for vm, heard in self.news.items():
-            if heard.left is None:
-                merged[vm] = heard.place
+        for vm, announcement in self.announcements.items():
+            if announcement.left is None:
+                merged[vm] = announcement.location
             else:
                 merged.pop(vm, None)
         self.peers.listed.set()
@@ -279,8 +285,9 @@
         if merged == before:
             return
         self.peers.known = merged
-        came = sorted(merged.keys() - before.keys())
-        went = sorted(before.keys() - merged.keys())
+        joined = sorted(merged.keys() - before.keys())
+        left = sorted(before.keys() - merged.keys())
         self.context.timeline.emit(
-            EventKind.MEMBER, detail=f"came: {came}, went: {went}, now {len(merged)}"
+            EventKind.MEMBER,
+            detail=f"joined: {joined}, left: {left}, now {len(merged)}",
         )
--- a/walnutquay/coordination/fleet/watchers.py
+++ b/walnutquay/coordination/fleet/watchers.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Which VMs watch the store for the others, and how these ask them."""
+"""The VMs that watch the store for the others, and the queries to them."""
 
 from __future__ import annotations
 
@@ -18,54 +18,59 @@
 
 log = logbook.Logger(__name__)
 
-# Up to so many VMs each watches the store itself.
+# In a fleet of up to this many VMs, each VM watches the store itself.
 SMALL_FLEET = 3
-# VMs of each data hall that watch the store.  Where it is lost or frozen the others of
-# the hall ask another hall's until the next in line has noticed.
+# The number of VMs of each data hall that watch the store.  If the watcher is lost or
+# frozen, the other VMs of the hall query the watcher of another hall until the next VM
+# in the ranking has noticed.
 WATCHERS_OF_HALL = 1
-# Watchers of other data halls that are asked where the own ones do not answer; those
-# of all halls are where each one answers that the store does not serve it.
+# The number of watchers of other data halls that are queried if the own ones do not
+# answer.  If each watcher answers that the store does not serve it, those of all halls
+# are queried.
 FAR_WATCHERS = 1
-# A watcher answers so much later at the most; else another is asked: also where two in
-# a row are frozen a change is known within the two seconds that the platform allows.
+# The time limit for the answer of a watcher, in addition to its wait for a change; then
+# the next one is queried.  Even if two in a row are frozen, a change is received within
+# the two seconds that the platform allows.
 ANSWER_SECONDS = 0.4
-# A VM that did not answer is left out of the choice of watchers for so long.
+# The time for which a VM that did not answer is not chosen as a watcher.
 SILENT_SECONDS = 3.0
-# A VM that starts waits no longer for the list of VMs, which tells whom to ask.
+# The longest time for which a starting VM waits for the list of VMs, from which it
+# chooses the watchers.
 VMS_SECONDS = 2.0
-# Every VM ranks alike by this.
+# The key by which all VMs rank the watchers, so that they agree on them.
 DUTY = "watch the store"
 
 
 class Watchers:
-    """Knows which VMs watch the store, and asks them for changes.
+    """The VMs that watch the store, and the queries to them for changes.
 
-    :param context: what this process shares.
+    :param context: the state shared by this process.
     :param peers: the other VMs.
     """
 
     def __init__(self, context: Context, peers: FleetPeers) -> None:
         self.context = context
         self.peers = peers
-        # Until when VMs that did not answer are left out; monotonic seconds.
+        # The time until which each VM that did not answer is not chosen; monotonic
+        # seconds.
         self.silent_until: dict[VmName, float] = {}
-        # The VMs of each data hall in their rank for the duty, and the list of VMs that
-        # this was made of: a VM asks some ten times a second.
+        # The ranked VMs of each data hall, and the list of VMs that was ranked.  They
+        # are cached because a VM sends some ten queries a second.
         self.ranked: dict[HallName, list[VmName]] = {}
-        self.made_of: dict[VmName, VmLocation] | None = None
+        self.ranked_source: dict[VmName, VmLocation] | None = None
 
     def includes_this(self) -> bool:
-        """:returns: whether this VM is to watch the store itself."""
+        """Return whether this VM has to watch the store itself."""
         if self.peers.size <= SMALL_FLEET:
             return True
-        return self.context.vm in self._watching(self.context.hall)
+        return self.context.vm in self._watchers_of(self.context.hall)
 
-    def _watching(self, hall: HallName) -> list[VmName]:
-        """:returns: the VMs of a data hall that are to watch the store."""
-        return self._of(hall)[:WATCHERS_OF_HALL]
+    def _watchers_of(self, hall: HallName) -> list[VmName]:
+        """Return the VMs of a data hall that have to watch the store."""
+        return self._candidates(hall)[:WATCHERS_OF_HALL]
 
-    def _of(self, hall: HallName) -> list[VmName]:
-        """Rank the VMs of a data hall for the duty."""
+    def _candidates(self, hall: HallName) -> list[VmName]:
+        """Return the VMs of a data hall by rank, without those that did not answer."""
         now = monotonic()
         own = self.context.vm
         silent = self.silent_until
@@ -76,46 +81,48 @@
         ]
 
     def _ranks(self) -> dict[HallName, list[VmName]]:
-        """Rank the VMs of all data halls, those that are silent too."""
+        """Return the VMs of each data hall by rank, including silent ones."""
         known = self.peers.known
-        if self.made_of is not known:
-            self.made_of = known
+        if self.ranked_source is not known:
+            self.ranked_source = known
             names: dict[HallName, set[VmName]] = {self.context.hall: {self.context.vm}}
-            for vm, place in known.items():
-                names.setdefault(place.hall, set()).add(vm)
+            for vm, location in known.items():
+                names.setdefault(location.hall, set()).add(vm)
             self.ranked = {
-                hall: [VmName(name) for name in rendezvous(DUTY, found)]
-                for hall, found in names.items()
+                hall: [VmName(name) for name in rendezvous(DUTY, members)]
+                for hall, members in names.items()
             }
         return self.ranked
 
-    def _asked(self) -> tuple[list[VmName], list[VmName]]:
-        """Give whom to ask: in this data hall, and in the others."""
-        near = self._watching(self.context.hall)
+    def _choose_watchers(self) -> tuple[list[VmName], list[VmName]]:
+        """Return the watchers to query: in this data hall, and in the others."""
+        near = self._watchers_of(self.context.hall)
         others = sorted(self._ranks().keys() - {self.context.hall})
-        far = [vm for hall in others for vm in self._of(hall)[:1]]
+        far = [vm for hall in others for vm in self._candidates(hall)[:1]]
         self.context.rng.shuffle(far)
         return [vm for vm in near if vm != self.context.vm], far
 
     async def query(
         self, kind: str, revision: int, seconds: float
     ) -> ChangesAre | None:
-        """Wait for changes at a watcher that has them from the store.
+        """Wait for changes from a watcher that receives them from the store.
 
         :param kind: the kind of objects.
-        :param revision: the revision that is known here.
-        :param seconds: how long to wait for a change.
-        :returns: its answer; one that failed only if all do; None if none answers.
+        :param revision: the newest revision of this VM.
+        :param seconds: the time to wait for a change.
+        :returns: the answer; a failing one only if the store serves none of the
+            watchers; None if none of them answers.
         """
         failing = None
         silent = False
-        near, far = self._asked()
+        near, far = self._choose_watchers()
         for number, vm in enumerate(near + far):
             if silent and number >= len(near) + FAR_WATCHERS:
                 break
-            # Whether the others have an answer from the store is told at once.
+            # Once a watcher has failed, the others answer at once whether the store
+            # serves them.
             wait = seconds if failing is None else 0.0
-            answer = await self._ask_one(vm, AskChanges(kind, revision, wait))
+            answer = await self._query_one(vm, AskChanges(kind, revision, wait))
             if answer is None or not answer.direct:
                 silent = silent or answer is None
                 continue
@@ -124,44 +131,44 @@
             failing = answer
         return failing
 
-    async def query_near(self, question: Message) -> Message | None:
-        """Ask the VM of this data hall that watches the store.
+    async def query_near(self, query: Message) -> Message | None:
+        """Query the VM of this data hall that watches the store.
 
-        :param question: what it is asked, which it answers at once.
-        :returns: its answer, or None.
+        :param query: the query, which it answers at once.
+        :returns: its answer, or None if it does not answer.
         """
-        near, _ = self._asked()
+        near, _ = self._choose_watchers()
         for vm in near:
-            answer = await self._call(vm, question, ANSWER_SECONDS)
+            answer = await self._call(vm, query, ANSWER_SECONDS)
             if answer is not None:
                 return answer
         return None
 
     async def wait_for_vms(self) -> None:
-        """Wait until it is known which VMs there are, but not for long."""
+        """Wait until there is a list of VMs, for a limited time."""
         if self.peers.listed.is_set() or not self.peers.seeds:
             return
         try:
             async with asyncio.timeout(VMS_SECONDS):
                 await self.peers.listed.wait()
         except TimeoutError:
-            log.info("there is no list of VMs yet; the store is watched from here")
+            log.info(
+                "no list of VMs was received in time; this VM watches the store itself"
+            )
 
-    async def _ask_one(self, vm: VmName, question: AskChanges) -> ChangesAre | None:
-        answer = await self._call(vm, question, question.seconds + ANSWER_SECONDS)
+    async def _query_one(self, vm: VmName, query: AskChanges) -> ChangesAre | None:
+        answer = await self._call(vm, query, query.seconds + ANSWER_SECONDS)
         return answer if isinstance(answer, ChangesAre) else None
 
-    async def _call(
-        self, vm: VmName, question: Message, limit: float
-    ) -> Message | None:
-        """Ask a watcher; one that does not answer is left out for a while."""
-        place = self.peers.known.get(vm)
-        if place is None:
+    async def _call(self, vm: VmName, query: Message, limit: float) -> Message | None:
+        """Query a watcher; one that does not answer is not chosen for some time."""
+        location = self.peers.known.get(vm)
+        if location is None:
             return None
         try:
-            return await self.peers.node.call(place.address, question, limit, vm)
+            return await self.peers.node.call(location.address, query, limit, vm)
         except PeerError as error:
             self.context.metrics.count("watchers_silent")
             self.silent_until[vm] = monotonic() + SILENT_SECONDS
-            log.debug("a watcher of the store does not answer: {}", error)
+            log.debug("a watcher of the store did not answer a query: {}", error)
             return None
