--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -57,8 +57,8 @@
         "coordination/fleet/vmlist.py",
         "merged.pop(vm, None)",
         "pass",
-        "tests.coordination.fleet.test_vmlist.NewsTest."
-        "test_one_that_left_is_not_brought_back_by_an_older_list",
+        "tests.coordination.fleet.test_vmlist.AnnouncementTest."
+        "test_vm_that_left_is_not_restored_by_older_list",
     ),
     Mutation(
         "a VM that starts learns from the others",
@@ -285,8 +285,8 @@
         "coordination/fleet/vmlist.py",
         "if from_store and not self.first_start:",
         "if False:",
-        "tests.coordination.fleet.test_vmlist.StartAgainTest."
-        "test_one_whose_entry_was_left_behind_is_told_all_news_again",
+        "tests.coordination.fleet.test_vmlist.RestartTest."
+        "test_vm_whose_entry_remained_is_sent_all_updates_again",
     ),
     Mutation(
         "list of VMs: any message of a later process shows that a VM is back",
@@ -300,7 +300,7 @@
         "coordination/fleet/absentees.py",
         "return enough_checks and now - absence.since >= ABSENT_SECONDS",
         "return False",
-        "tests.coordination.fleet.test_absentees.TakingOutTest.test_those_that_were_lost_go",
+        "tests.coordination.fleet.test_absentees.RemovalTest.test_lost_vms_are_removed",
     ),
     Mutation(
         "ends of endpoints: the next start of an endpoint shows its end",
--- a/tests/coordination/fleet/test_absentees.py
+++ b/tests/coordination/fleet/test_absentees.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""VMs that were lost for good are taken out of the list of VMs, and no others."""
+"""Only permanently lost VMs are removed from the list of VMs."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 
 
 class Network:
-    """Reaches the VMs that are up, but for those that are cut off."""
+    """A network on which VMs can be down or cut off."""
 
     def __init__(self) -> None:
         self.down: set[Address] = set()
         self.calls = 0
 
     def node_of(self, own: Address) -> SimpleNamespace:
-        """:returns: the node of a VM."""
+        """Return the node of a VM."""
 
         async def call(address, body, limit, peer=""):
             self.calls += 1
@@ -47,7 +47,7 @@
         return SimpleNamespace(call=call)
 
 
-class AbsenteesCase(unittest.IsolatedAsyncioTestCase):
+class AbsenceCase(unittest.IsolatedAsyncioTestCase):
     """A fleet of 30 VMs in three halls."""
 
     vms = 30
@@ -58,56 +58,56 @@
         patch.start()
         self.addCleanup(patch.stop)
         self.network = Network()
-        self.away = False
-        self.rows = {self.name(n): self.place(n) for n in range(self.vms)}
+        self.unavailable = False
+        self.rows = {self.name(n): self.location(n) for n in range(self.vms)}
         self.fleet = {self.name(n): self.start(n) for n in range(self.vms)}
 
     def name(self, number: int) -> VmName:
-        """:returns: a VM's name."""
+        """Return the name of a VM."""
         return VmName(f"vm-{number}")
 
-    def place(self, number: int) -> VmLocation:
-        """:returns: where a VM is."""
+    def location(self, number: int) -> VmLocation:
+        """Return the location of a VM."""
         hall = HallName(f"hall-{number % HALLS}")
         return VmLocation(Address(f"10.0.0.{number}", PORT), hall)
 
     async def leave(self, vm: VmName) -> None:
-        """As the register's."""
-        if self.away:
-            raise PlatformUnavailableError("away", step="delete", peer="store")
+        """Remove the entry of a VM; see Register."""
+        if self.unavailable:
+            raise PlatformUnavailableError("unavailable", step="delete", peer="store")
         self.rows.pop(vm, None)
 
     def start(self, number: int) -> AbsenceMonitor:
-        """:returns: what a VM does."""
-        place = self.place(number)
+        """Return the monitor of a VM."""
+        location = self.location(number)
         context = SimpleNamespace(
             vm=self.name(number),
-            hall=place.hall,
+            hall=location.hall,
             rng=random.Random(number),
             metrics=Metrics(),
             timeline=SimpleNamespace(emit=lambda *args, **more: None),
         )
-        node = self.network.node_of(place.address)
-        peers = FleetPeers(context, node, place.address, [])
+        node = self.network.node_of(location.address)
+        peers = FleetPeers(context, node, location.address, [])
         return AbsenceMonitor(context, peers, SimpleNamespace(leave=self.leave))
 
     def lose(self, *numbers: int) -> None:
-        """Let VMs lose their power, or be cut off."""
-        self.network.down |= {self.place(number).address for number in numbers}
+        """Cut VMs off, as after a loss of power."""
+        self.network.down |= {self.location(number).address for number in numbers}
 
     async def rounds(self, count: int) -> None:
-        """Let all VMs that live check some times."""
+        """Run a number of check rounds of all VMs."""
         for _ in range(count):
             self.now += CHECK_SECONDS
-            for made in self.fleet.values():
-                made.peers.known = dict(self.rows)
-                await made.check()
+            for monitor in self.fleet.values():
+                monitor.peers.known = dict(self.rows)
+                await monitor.check()
 
 
-class TakingOutTest(AbsenteesCase):
-    """Entries of VMs that do not come back."""
+class RemovalTest(AbsenceCase):
+    """The entries of VMs that do not come back are removed."""
 
-    async def test_those_that_were_lost_go(self):
+    async def test_lost_vms_are_removed(self):
         self.lose(4, 7, 11)
         await self.rounds(ROUNDS)
         self.assertEqual(len(self.rows), self.vms)
@@ -115,7 +115,7 @@
         gone = {self.name(n) for n in (4, 7, 11)}
         self.assertEqual(self.rows.keys(), self.fleet.keys() - gone)
 
-    async def test_one_that_is_back_in_time_stays(self):
+    async def test_vm_that_returns_in_time_is_kept(self):
         self.lose(4)
         await self.rounds(ROUNDS - 1)
         self.network.down.clear()
@@ -124,31 +124,31 @@
         await self.rounds(ROUNDS - 1)
         self.assertEqual(len(self.rows), self.vms)
 
-    async def test_one_that_is_cut_off_takes_nobody_out(self):
-        # It reaches the store, and none of the others.
+    async def test_vm_that_is_cut_off_removes_no_other(self):
+        # It reaches the store, but no other VM.
         self.lose(4)
         for _ in range(2 * ROUNDS):
             self.now += CHECK_SECONDS
-            made = self.fleet[self.name(4)]
-            made.peers.known = dict(self.rows)
-            await made.check()
+            monitor = self.fleet[self.name(4)]
+            monitor.peers.known = dict(self.rows)
+            await monitor.check()
         self.assertEqual(len(self.rows), self.vms)
 
-    async def test_a_hall_that_is_lost_as_a_whole_stays(self):
-        # It comes back as a whole; until then nobody there can tell who is gone.
+    async def test_hall_that_is_lost_as_a_whole_is_kept(self):
+        # It comes back as a whole; until then no VM of it can check the others.
         self.lose(*range(0, self.vms, HALLS))
         await self.rounds(2 * ROUNDS)
         self.assertEqual(len(self.rows), self.vms)
 
-    async def test_the_store_is_away_as_one_is_to_go(self):
+    async def test_removal_is_retried_after_store_was_unavailable(self):
         self.lose(4)
-        self.away = True
+        self.unavailable = True
         await self.rounds(ROUNDS + 3)
-        self.away = False
+        self.unavailable = False
         await self.rounds(1)
         self.assertNotIn(self.name(4), self.rows)
 
-    async def test_one_that_was_suspended_asks_more_than_once(self):
+    async def test_vm_that_was_suspended_checks_more_than_once(self):
         self.lose(4)
         await self.rounds(1)
         self.now += 2 * ABSENT_SECONDS
@@ -156,13 +156,13 @@
         self.assertIn(self.name(4), self.rows)
 
 
-class CostTest(AbsenteesCase):
-    """What checking costs does not grow with the fleet."""
+class CostTest(AbsenceCase):
+    """The calls of each VM for the checks do not grow with the fleet."""
 
     vms = 195
 
     async def test_calls(self):
         await self.rounds(1)
         self.assertEqual(self.network.calls, CHECKERS * self.vms)
-        most = max(len(made.checked()) for made in self.fleet.values())
+        most = max(len(monitor.assigned()) for monitor in self.fleet.values())
         self.assertLessEqual(most, 4 * CHECKERS)
--- a/tests/coordination/fleet/test_fleetpeers.py
+++ b/tests/coordination/fleet/test_fleetpeers.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Whom a VM tells: all of a small fleet, few of a large one, and whom it concerns."""
+"""The recipients of messages: all VMs of a small fleet, a sample of a large one."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from types import SimpleNamespace
 
 from walnutquay.coordination.fleet.peers import (
+    FAR_RECIPIENTS,
+    MAX_HALL_RECIPIENTS,
+    MAX_RECIPIENTS,
     RELAYS,
-    TOLD,
-    TOLD_FAR,
-    TOLD_IN_HALL,
     FleetPeers,
 )
 from walnutquay.protocol.messages import AskStart
@@ -25,119 +25,134 @@
 
 
 class FakeNode:
-    """Notes what is sent to whom."""
+    """Records the recipients of messages."""
 
     def __init__(self) -> None:
         self.sent: list[Address] = []
 
     def send_all(self, addresses, body) -> None:
-        """As the real one."""
+        """Record the recipients; see PeerNode."""
         self.sent.extend(addresses)
 
 
 def peers(vms: int) -> FleetPeers:
-    """:returns: the peers of the first of so many VMs, spread over the halls."""
+    """Return the peers of the first VM of a fleet that is spread over the halls."""
     context = SimpleNamespace(vm=VmName("vm-0"), hall=HERE, rng=random.Random(1))
-    made = FleetPeers(context, FakeNode(), Address("10.0.0.0", 1), [])
-    made.known = {
+    fleet_peers = FleetPeers(context, FakeNode(), Address("10.0.0.0", 1), [])
+    fleet_peers.known = {
         VmName(f"vm-{number}"): VmLocation(
             Address(f"10.0.0.{number}", 1), HALLS[number % len(HALLS)]
         )
         for number in range(vms)
     }
-    return made
-
-
-class TellingTest(unittest.TestCase):
-    """Messages that may be lost."""
-
-    def halls_told(self, made: FleetPeers) -> list[HallName]:
-        """:returns: the data hall of each VM that was told; never the sender itself."""
-        places = {place.address: place.hall for place in made.known.values()}
-        self.assertNotIn(made.own, made.node.sent)
-        self.assertEqual(len(made.node.sent), len(set(made.node.sent)))
-        return [places[address] for address in made.node.sent]
-
-    def test_all_of_a_small_fleet(self):
-        for send_to_some in (
-            lambda made: made.send_to_some(BODY),
-            lambda made: made.send_to_users(THERE, BODY),
-            lambda made: made.broadcast(BODY),
+    return fleet_peers
+
+
+class RecipientsTest(unittest.TestCase):
+    """The recipients of messages that may be lost."""
+
+    def recipient_halls(self, fleet_peers: FleetPeers) -> list[HallName]:
+        """Return the data hall of each recipient; the sender is never one of them."""
+        halls = {
+            location.address: location.hall for location in fleet_peers.known.values()
+        }
+        self.assertNotIn(fleet_peers.own, fleet_peers.node.sent)
+        self.assertEqual(len(fleet_peers.node.sent), len(set(fleet_peers.node.sent)))
+        return [halls[address] for address in fleet_peers.node.sent]
+
+    def test_all_vms_of_a_small_fleet(self):
+        for send in (
+            lambda fleet_peers: fleet_peers.send_to_some(BODY),
+            lambda fleet_peers: fleet_peers.send_to_users(THERE, BODY),
+            lambda fleet_peers: fleet_peers.broadcast(BODY),
         ):
-            made = peers(TOLD + 1)
-            send_to_some(made)
-            self.assertEqual(len(self.halls_told(made)), TOLD)
-
-    def test_some_of_a_large_one_mostly_of_this_hall(self):
-        made = peers(195)
-        made.send_to_some(BODY)
-        halls = self.halls_told(made)
-        self.assertEqual(len(halls), TOLD)
-        self.assertEqual(len(halls) - halls.count(HERE), TOLD_FAR)
-
-    def test_the_vms_of_one_hall(self):
+            fleet_peers = peers(MAX_RECIPIENTS + 1)
+            send(fleet_peers)
+            self.assertEqual(len(self.recipient_halls(fleet_peers)), MAX_RECIPIENTS)
+
+    def test_sample_of_a_large_fleet_is_mostly_in_this_hall(self):
+        fleet_peers = peers(195)
+        fleet_peers.send_to_some(BODY)
+        halls = self.recipient_halls(fleet_peers)
+        self.assertEqual(len(halls), MAX_RECIPIENTS)
+        self.assertEqual(len(halls) - halls.count(HERE), FAR_RECIPIENTS)
+
+    def test_vms_of_one_hall(self):
         for hall, others in ((HERE, 38), (THERE, 39)):
-            made = peers(195)
-            made.send_to_hall(hall, BODY)
-            self.assertEqual(self.halls_told(made), [hall] * others)
+            fleet_peers = peers(195)
+            fleet_peers.send_to_hall(hall, BODY)
+            self.assertEqual(self.recipient_halls(fleet_peers), [hall] * others)
 
-    def told_users(self, vms: int, hall: HallName) -> tuple[set[Address], int]:
-        """Tell the users of a hall, and let those who are to pass it on.
+    def send_to_users_and_relay(
+        self, vms: int, hall: HallName
+    ) -> tuple[set[Address], int]:
+        """Send a message to the users of a hall, and relay it at each recipient.
 
-        :returns: who hears of it, and how often it crosses between halls.
+        :returns: the addresses that receive it, and the number of messages that cross
+            between data halls.
         """
-        made = peers(vms)
-        places = {place.address: vm for vm, place in made.known.items()}
-        made.send_to_users(hall, BODY)
-        heard = set(made.node.sent)
-        crossed = sum(made.known[places[one]].hall != HERE for one in heard)
-        for address in list(heard):
-            there = peers(vms)
-            vm = places[address]
-            there.context = SimpleNamespace(
-                vm=vm, hall=there.known[vm].hall, rng=random.Random(1)
+        fleet_peers = peers(vms)
+        vms_by_address = {
+            location.address: vm for vm, location in fleet_peers.known.items()
+        }
+        fleet_peers.send_to_users(hall, BODY)
+        receivers = set(fleet_peers.node.sent)
+        crossed = sum(
+            fleet_peers.known[vms_by_address[one]].hall != HERE for one in receivers
+        )
+        for address in list(receivers):
+            receiver = peers(vms)
+            vm = vms_by_address[address]
+            receiver.context = SimpleNamespace(
+                vm=vm, hall=receiver.known[vm].hall, rng=random.Random(1)
             )
-            there.relay_in_hall(VmName("vm-0"), BODY)
+            receiver.relay_in_hall(VmName("vm-0"), BODY)
             self.assertLessEqual(
-                {there.known[places[one]].hall for one in there.node.sent}, {hall}
+                {
+                    receiver.known[vms_by_address[one]].hall
+                    for one in receiver.node.sent
+                },
+                {hall},
             )
-            heard |= set(there.node.sent)
-        return heard, crossed
+            receivers |= set(receiver.node.sent)
+        return receivers, crossed
 
-    def test_the_users_of_one_hall(self):
+    def test_users_of_one_hall(self):
         for hall, others, crossed in ((HERE, 38, 0), (THERE, 39, 1)):
-            heard, far = self.told_users(195, hall)
-            self.assertEqual((len(heard), far), (others, crossed))
+            receivers, far = self.send_to_users_and_relay(195, hall)
+            self.assertEqual((len(receivers), far), (others, crossed))
 
-    def test_users_in_a_very_large_hall(self):
+    def test_users_of_a_very_large_hall(self):
         for hall in (HERE, THERE):
-            heard, far = self.told_users(640, hall)
-            self.assertEqual((len(heard), far), (TOLD_IN_HALL, hall is THERE))
-
-    def test_a_small_fleet_passes_nothing_on(self):
-        made = peers(TOLD + 1)
-        made.relay_in_hall(VmName("vm-3"), BODY)
-        self.assertEqual(made.node.sent, [])
-
-    def test_the_other_halls(self):
-        made = peers(195)
-        made.send_to_other_halls(BODY)
-        halls = self.halls_told(made)
+            receivers, far = self.send_to_users_and_relay(640, hall)
+            self.assertEqual(
+                (len(receivers), far), (MAX_HALL_RECIPIENTS, hall is THERE)
+            )
+
+    def test_small_fleet_relays_nothing(self):
+        fleet_peers = peers(MAX_RECIPIENTS + 1)
+        fleet_peers.relay_in_hall(VmName("vm-3"), BODY)
+        self.assertEqual(fleet_peers.node.sent, [])
+
+    def test_other_halls(self):
+        fleet_peers = peers(195)
+        fleet_peers.send_to_other_halls(BODY)
+        halls = self.recipient_halls(fleet_peers)
         self.assertEqual((len(halls), halls.count(HERE)), (156, 0))
 
     def test_relays(self):
-        made = peers(195)
-        made.send_to_relays(BODY)
-        halls = self.halls_told(made)
+        fleet_peers = peers(195)
+        fleet_peers.send_to_relays(BODY)
+        halls = self.recipient_halls(fleet_peers)
         self.assertEqual(sorted(halls), sorted(HALLS[1:] * RELAYS))
-        # Each VM of a hall takes the same ones for its relays.
+        # All VMs of a hall agree on its relays.
         relays = []
-        for vm, place in made.known.items():
-            made.context.vm, made.context.hall = vm, place.hall
-            relays += [vm] if made.is_relay() else []
+        for vm, location in fleet_peers.known.items():
+            fleet_peers.context.vm, fleet_peers.context.hall = vm, location.hall
+            relays += [vm] if fleet_peers.is_relay() else []
         self.assertEqual(len(relays), RELAYS * len(HALLS))
-        self.assertEqual(made.hall_of(VmName("vm-7")), HALLS[2])
-        self.assertIsNone(made.hall_of(VmName("vm-999")))
+        self.assertEqual(fleet_peers.hall_of(VmName("vm-7")), HALLS[2])
+        self.assertIsNone(fleet_peers.hall_of(VmName("vm-999")))
 
     def test_size(self):
         self.assertEqual(peers(195).size, 195)
