--- a/tests/coordination/fleet/test_vmlist.py
+++ b/tests/coordination/fleet/test_vmlist.py
@@ -230,12 +230,12 @@
         self.assertIn(name_of(11), self.register.rows)
 
     async def test_vm_whose_entry_remained_is_sent_all_updates_again(self):
-        # Guards against a restarted VM that is sent no updates.  The entry of a VM stays
-        # in the store if the store is unavailable at a planned stop.  Once restarted,
-        # the VM found its entry and announced nothing, so the others treated it as
-        # having left for 25 s.  In one run, it was removed from their lists at 0.7 s and
-        # started at 2.1 s; at 13.7 s, two more engines crashed under a request that the
-        # others had blocked 1.2 s before.
+        # Guards against a restarted VM that is sent no updates.  The entry of a VM
+        # stays in the store if the store is unavailable at a planned stop.  Once
+        # restarted, the VM found its entry and announced nothing, so the others treated
+        # it as having left for 25 s.  In one run, it was removed from their lists at
+        # 0.7 s and started at 2.1 s; at 13.7 s, two more engines crashed under a request
+        # that the others had blocked 1.2 s before.
         left, *others = self.lists
         self.register.unavailable = True
         await left.stop()
