--- a/walnutquay/coordination/fleet/peers.py
+++ b/walnutquay/coordination/fleet/peers.py
@@ -20,7 +20,8 @@
 
 log = logbook.Logger(__name__)
 
-# Peers answer within a few milliseconds; one that has not answered by then is cut off.
+# Peers answer within a few milliseconds; one that has not answered after this time is
+# treated as cut off too.
 QUERY_SECONDS = 0.4
 # The number of peers that are queried, one after the other or concurrently.
 QUERIED_PEERS = 3
