--- a/lab/crashes/fleet.py
+++ b/lab/crashes/fleet.py
@@ -118,7 +118,7 @@
         """:param body: a message to all of them."""
         self.fleet.send(self.vm, self.fleet.vms, body)
 
-    def tell(self, body: Message) -> None:
+    def send_to_some(self, body: Message) -> None:
         """:param body: a message to some of them."""
         others = self.fleet.rng.sample(self.fleet.vms, min(12, len(self.fleet.vms)))
         self.fleet.send(self.vm, others, body)
--- a/tests/coordination/own/test_billing.py
+++ b/tests/coordination/own/test_billing.py
@@ -105,7 +105,7 @@
                     leaving=leaving,
                     address=Address("127.0.0.1", 1),
                 )
-                billing.members.table.hear(news, monotonic())
+                billing.members.table.receive(news, monotonic())
 
     def kill(self, name: str) -> None:
         """Stop a VM and remove it from the member tables of all others."""
--- a/walnutquay/coordination/own/billing.py
+++ b/walnutquay/coordination/own/billing.py
@@ -359,7 +359,7 @@
         """
         vm = self.vm_of.get(incarnation, "")
         member = self.members.table.members.get(vm)
-        if member is None or member.news.incarnation > incarnation:
+        if member is None or member.latest.incarnation > incarnation:
             return math.inf
         now = monotonic()
         if self.members.table.state_of(member, now) is MemberState.ALIVE:
--- a/walnutquay/coordination/own/members.py
+++ b/walnutquay/coordination/own/members.py
@@ -147,7 +147,7 @@
         :param body: the message.
         """
         for member in self.table.alive(monotonic()):
-            self.send(member.news.vm, body)
+            self.send(member.latest.vm, body)
 
     def tell(self, body: Message) -> None:
         """Send a datagram to some members, those of the next round of heartbeats.
@@ -174,7 +174,7 @@
         now = monotonic()
         self.table.receive_digests(heartbeat.digests, now)
         for news in (heartbeat.own, *heartbeat.rumours):
-            if self.table.hear(news, now):
+            if self.table.receive(news, now):
                 for listener in self.on_news:
                     listener(news, news is heartbeat.own)
 
--- a/walnutquay/coordination/requests/crashnews.py
+++ b/walnutquay/coordination/requests/crashnews.py
@@ -48,7 +48,7 @@
         :param body: the message.
         """
 
-    def tell(self, body: Message) -> None:
+    def send_to_some(self, body: Message) -> None:
         """Send a message to some of the VMs; it may be lost.
 
         :param body: the message.
@@ -106,7 +106,7 @@
 
     def send_digest(self) -> None:
         """Send a digest of the traces to some other VMs, to be compared with theirs."""
-        self.peers.tell(CrashDigest(self.book.digest()))
+        self.peers.send_to_some(CrashDigest(self.book.digest()))
 
     async def _send_batch(self) -> None:
         """Broadcast the unsent traces twice."""
--- a/walnutquay/daemon/beliefs.py
+++ b/walnutquay/daemon/beliefs.py
@@ -22,9 +22,9 @@
         "members": {
             name: {
                 "state": table.state_of(member, now).value,
-                "incarnation": member.news.incarnation,
-                "counter": member.news.counter,
-                "revision": member.news.revision,
+                "incarnation": member.latest.incarnation,
+                "counter": member.latest.counter,
+                "revision": member.latest.revision,
                 "heard": now - member.last_seen_at,
             }
             for name, member in table.members.items()
--- a/walnutquay/daemon/gateway.py
+++ b/walnutquay/daemon/gateway.py
@@ -131,7 +131,7 @@
             first_start,
         )
         self.dispatcher.on(AskVms, self.vm_list.answer)
-        self.dispatcher.on(VmNews, self.vm_list.hear)
+        self.dispatcher.on(VmNews, self.vm_list.receive)
         self.dispatcher.listeners.append(self.vm_list.detect_restart)
         links = StoreLinks(
             self.context, self.store, self.peers, self.watchers, self.starting
