--- a/lab/capacity/fakepeers.py
+++ b/lab/capacity/fakepeers.py
@@ -29,7 +29,7 @@
     MemberNews,
     digest_of,
 )
-from walnutquay.state.own.tallies import TallyRow
+from walnutquay.state.own.outcomecounts import OutcomeCount
 from walnutquay.state.process.clock import HybridClock
 from walnutquay.state.process.ids import HallName, Incarnation, VmName
 from walnutquay.state.process.metrics import Metrics
@@ -67,7 +67,7 @@
     while rows:
         told += 1
         news = tuple(
-            TallyRow(
+            OutcomeCount(
                 f"fake-{(told + row) % FAKE_COUNTERS:04d}",
                 INCARNATION_SHAPE,
                 f"rated|a-cascade|a-class-{row}|a-version-1",
--- a/lab/capacity/page.py
+++ b/lab/capacity/page.py
@@ -28,7 +28,7 @@
     SILENT_SECONDS,
 )
 from walnutquay.state.own.bills import BillRecord
-from walnutquay.state.own.tallies import ROWS_SENT
+from walnutquay.state.own.outcomecounts import ROWS_PER_MESSAGE
 from walnutquay.state.process.clock import Stamp
 from walnutquay.state.process.events import Event, EventKind
 from walnutquay.state.requests.endpoints import SUBSET
@@ -176,7 +176,7 @@
                 "outcomes of versions",
                 "`coordination/own/tallies.py`: each VM's counts, passed on",
                 "20,000 counts at the most",
-                f"{told:.0f} message/s out, as many in, of {ROWS_SENT} counts; "
+                f"{told:.0f} message/s out, as many in, of {ROWS_PER_MESSAGE} counts; "
                 f"{self.told_bytes() / 1000:.1f} KB/s in all",
                 self.told_cpu(),
                 "small",
@@ -227,12 +227,12 @@
 
     def told_cpu(self) -> float:
         """:returns: share of a core for the counts of outcomes, at their most."""
-        return self.slope("tallies", "cpu") * ROWS_SENT
+        return self.slope("tallies", "cpu") * ROWS_PER_MESSAGE
 
     def told_bytes(self) -> float:
         """:returns: bytes a second for them, out and in."""
         each = sum(self.slope("tallies", f"bytes_{way}") for way in ("out", "in"))
-        return each * ROWS_SENT
+        return each * ROWS_PER_MESSAGE
 
     def report_cpu(self) -> float:
         """:returns: share of a core for the reports of one second."""
--- a/lab/capacity/slopetable.py
+++ b/lab/capacity/slopetable.py
@@ -11,7 +11,7 @@
 from lab.capacity import aims
 from lab.capacity.slopes import SECONDS
 from walnutquay.coordination.own.endpoints import MAX_REPORTERS
-from walnutquay.state.own.tallies import ROWS_SENT
+from walnutquay.state.own.outcomecounts import ROWS_PER_MESSAGE
 
 # Events of a stream of the experiments: its tokens, and two that open and end it.
 EVENTS_A_STREAM = 66
@@ -54,7 +54,7 @@
     "requests": aims.REQUESTS / aims.NODES,
     "streams": aims.TOKENS / aims.NODES / EVENTS_A_STREAM,
     "changes": aims.CHANGES_A_DAY / aims.DAY * SECONDS,
-    "tallies": ROWS_SENT,
+    "tallies": ROWS_PER_MESSAGE,
 }
 
 
--- a/lab/decisions/rollouts.py
+++ b/lab/decisions/rollouts.py
@@ -17,8 +17,8 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass, field
 
-from walnutquay.state.own.brakes import BrakeTable, Measure, Stage
-from walnutquay.state.own.tallies import TallyBoard
+from walnutquay.state.own.circuitbreakers import CircuitBreakerTable, Measure, Stage
+from walnutquay.state.own.outcomecounts import OutcomeCountTable
 
 VMS = 7
 REQUESTS_PER_SECOND = 60.0
@@ -132,33 +132,33 @@
     name = "sequential tests, all VMs"
 
     def __init__(self, rng: random.Random) -> None:
-        self.boards = [TallyBoard(str(n), "i", rng) for n in range(VMS)]
-        self.tables = [BrakeTable() for _ in range(VMS)]
+        self.boards = [OutcomeCountTable(str(n), "i", rng) for n in range(VMS)]
+        self.tables = [CircuitBreakerTable() for _ in range(VMS)]
         for table in self.tables:
-            table.under_rollout({NEW: STAGE})
+            table.set_stages({NEW: STAGE})
 
     def braked(self, vm: int) -> bool:
         """Whether any VM has braked: brakes are told at once."""
-        return any(table.braked for table in self.tables)
+        return any(table.rejected for table in self.tables)
 
     def note(self, vm: int, version: str, measure: Measure, bad: bool) -> None:
         """Count here; the others hear of it."""
         self.boards[vm].add(f"{measure.value}|{version}", not bad, bad)
-        self.tables[vm].take(STAGE.key, version, measure, not bad, bad)
+        self.tables[vm].record(STAGE.key, version, measure, not bad, bad)
 
     def tell(self) -> None:
         """Send what has changed to all others."""
         for teller, board in enumerate(self.boards):
-            for row in board.to_tell():
+            for row in board.rows_to_send():
                 for hearer in range(VMS):
                     if hearer != teller:
                         self._hear(hearer, row)
 
     def _hear(self, vm: int, row) -> None:
-        good, bad = self.boards[vm].hear(row)
+        good, bad = self.boards[vm].receive(row)
         measure, version = row.subject.split("|")
         if good or bad:
-            self.tables[vm].take(STAGE.key, version, Measure(measure), good, bad)
+            self.tables[vm].record(STAGE.key, version, Measure(measure), good, bad)
 
 
 def simulate(case: Case, rule: Rule, rng: random.Random) -> int | None:
--- a/tests/state/own/test_admission.py
+++ b/tests/state/own/test_admission.py
@@ -7,7 +7,7 @@
 import unittest
 from collections import Counter
 
-from walnutquay.state.own.admission import PoolQueue, RetryBudget, Waiting
+from walnutquay.state.own.admission import PoolQueue, QueuedRequest, RetryBudget
 from walnutquay.state.process.ids import WorkKind
 from walnutquay.state.requests.refusals import RefusalCode
 from walnutquay.state.store.parts import Pool
@@ -24,12 +24,12 @@
     weight: float = 1.0,
     deadline: float = 100.0,
     target: str = "v",
-) -> Waiting:
+) -> QueuedRequest:
     """:returns: a request that waits."""
-    return Waiting(request, organisation, weight, deadline, target)
+    return QueuedRequest(request, organisation, weight, deadline, target)
 
 
-def anything(_: Waiting) -> bool:
+def anything(_: QueuedRequest) -> bool:
     """Room for everything."""
     return True
 
@@ -126,7 +126,7 @@
     def test_a_start_that_is_too_late_for_the_answer_is_none(self):
         line = queue()
         for _ in range(100):
-            line.finished(2.0)
+            line.record_duration(2.0)
         self.assertAlmostEqual(line.latest_start(10.0), 8.0, places=2)
 
     def test_what_has_no_room_lets_others_pass(self):
--- a/tests/state/own/test_rollouts.py
+++ b/tests/state/own/test_rollouts.py
@@ -10,9 +10,9 @@
 import unittest
 
 from tests.fleetcase import FleetCase
-from walnutquay.state.own.brakes import BrakeTable, Measure, Stage
+from walnutquay.state.own.circuitbreakers import CircuitBreakerTable, Measure, Stage
+from walnutquay.state.own.outcomecounts import ROWS_PER_MESSAGE, OutcomeCountTable
 from walnutquay.state.own.sequential import Verdict
-from walnutquay.state.own.tallies import ROWS_SENT, TallyBoard
 from walnutquay.state.requests.durations import MIN_SAMPLES, DurationTable
 
 SEEDS = 200
@@ -35,10 +35,10 @@
 ]
 
 
-def table() -> BrakeTable:
+def table() -> CircuitBreakerTable:
     """:returns: one roll-out in its first stage."""
-    found = BrakeTable()
-    found.under_rollout({NEW: STAGE})
+    found = CircuitBreakerTable()
+    found.set_stages({NEW: STAGE})
     return found
 
 
@@ -52,8 +52,8 @@
     for number in range(1, MOST + 1):
         for version, share in ((OLD, old), (NEW, new)):
             bad = rng.random() < share
-            brakes.take(STAGE.key, version, measure, not bad, bad)
-        if brakes.braked:
+            brakes.record(STAGE.key, version, measure, not bad, bad)
+        if brakes.rejected:
             return number
     return None
 
@@ -74,32 +74,32 @@
     def test_four_failures_are_enough_and_three_are_not(self):
         brakes = table()
         for _ in range(3):
-            self.assertFalse(brakes.take(STAGE.key, NEW, Measure.FAILED, 0, 1))
-        self.assertTrue(brakes.take(STAGE.key, NEW, Measure.FAILED, 0, 1))
-        self.assertEqual(brakes.braked, {NEW})
+            self.assertFalse(brakes.record(STAGE.key, NEW, Measure.FAILED, 0, 1))
+        self.assertTrue(brakes.record(STAGE.key, NEW, Measure.FAILED, 0, 1))
+        self.assertEqual(brakes.rejected, {NEW})
 
     def test_a_version_that_turns_bad_late_is_found(self):
         brakes = table()
-        brakes.take(STAGE.key, NEW, Measure.FAILED, 5000, 0)
-        brakes.take(STAGE.key, NEW, Measure.FAILED, 0, 8)
-        self.assertEqual(brakes.braked, {NEW})
+        brakes.record(STAGE.key, NEW, Measure.FAILED, 5000, 0)
+        brakes.record(STAGE.key, NEW, Measure.FAILED, 0, 8)
+        self.assertEqual(brakes.rejected, {NEW})
 
     def test_good_wants_each_measure_that_is_there(self):
         brakes = table()
         self.assertIs(brakes.verdict(NEW), Verdict.UNDECIDED)
-        brakes.take(STAGE.key, NEW, Measure.FAILED, 100, 0)
+        brakes.record(STAGE.key, NEW, Measure.FAILED, 100, 0)
         self.assertIs(brakes.verdict(NEW), Verdict.UNDECIDED)
-        brakes.take(STAGE.key, NEW, Measure.SLOW, 100, 0)
+        brakes.record(STAGE.key, NEW, Measure.SLOW, 100, 0)
         self.assertIs(brakes.verdict(NEW), Verdict.GOOD)
-        brakes.take(STAGE.key, NEW, Measure.POOR, 1, 0)
+        brakes.record(STAGE.key, NEW, Measure.POOR, 1, 0)
         self.assertIs(brakes.verdict(NEW), Verdict.UNDECIDED)
 
     def test_the_next_stage_begins_anew(self):
         brakes = table()
-        brakes.take(STAGE.key, NEW, Measure.FAILED, 0, 9)
-        brakes.under_rollout({NEW: Stage("r/1/running", OLD)})
-        self.assertFalse(brakes.braked)
-        self.assertFalse(brakes.take(STAGE.key, NEW, Measure.FAILED, 0, 9))
+        brakes.record(STAGE.key, NEW, Measure.FAILED, 0, 9)
+        brakes.set_stages({NEW: Stage("r/1/running", OLD)})
+        self.assertFalse(brakes.rejected)
+        self.assertFalse(brakes.record(STAGE.key, NEW, Measure.FAILED, 0, 9))
 
 
 class PaceTest(unittest.TestCase):
@@ -119,10 +119,10 @@
 class TallyTest(unittest.TestCase):
     """Counts add up over VMs, however their news come."""
 
-    def boards(self, count: int) -> list[TallyBoard]:
+    def boards(self, count: int) -> list[OutcomeCountTable]:
         """:returns: the boards of so many VMs."""
         rng = random.Random(1)
-        return [TallyBoard(f"vm-{n}", "i", rng) for n in range(count)]
+        return [OutcomeCountTable(f"vm-{n}", "i", rng) for n in range(count)]
 
     def test_lost_doubled_and_late_news_add_up(self):
         one, two = self.boards(2)
@@ -130,9 +130,11 @@
         for _ in range(30):
             one.add("s", 1, 0)
             one.add("s", 0, 1)
-            news.extend(one.to_tell())
+            news.extend(one.rows_to_send())
         random.Random(3).shuffle(news)
-        heard = [two.hear(row) for row in itertools.chain(news[::2], news[-1:], news)]
+        heard = [
+            two.receive(row) for row in itertools.chain(news[::2], news[-1:], news)
+        ]
         self.assertEqual([sum(x) for x in zip(*heard, strict=True)], [30, 30])
         self.assertEqual(two.totals(["s"]), {"s": (30, 30)})
 
@@ -143,22 +145,22 @@
         rng = random.Random(5)
         for _ in range(40):
             for board in boards:
-                rows = board.to_tell()
-                self.assertLessEqual(len(rows), ROWS_SENT)
+                rows = board.rows_to_send()
+                self.assertLessEqual(len(rows), ROWS_PER_MESSAGE)
                 for other in rng.sample(boards, 6):
                     for row in rows:
-                        other.hear(row)
+                        other.receive(row)
         found = {board.totals(["s"])["s"] for board in boards}
         self.assertEqual(found, {(40, 0)})
 
     def test_a_new_start_counts_from_nothing(self):
         first, other = self.boards(2)
         first.add("s", 5, 0)
-        for row in first.to_tell():
-            other.hear(row)
-        again = TallyBoard("vm-0", "j", random.Random(1))
+        for row in first.rows_to_send():
+            other.receive(row)
+        again = OutcomeCountTable("vm-0", "j", random.Random(1))
         again.add("s", 2, 0)
-        news = [other.hear(row) for row in again.to_tell()]
+        news = [other.receive(row) for row in again.rows_to_send()]
         self.assertEqual(news, [(2, 0)])
         self.assertEqual(other.totals(["s"])["s"], (7, 0))
 
@@ -167,7 +169,7 @@
         board.add("old", 1, 0)
         board.add("new", 1, 0)
         board.forget(lambda subject: subject == "old")
-        self.assertEqual([row.subject for row in board.to_tell()], ["new"])
+        self.assertEqual([row.subject for row in board.rows_to_send()], ["new"])
 
 
 class FleetRolloutTest(FleetCase):
--- a/tests/state/own/test_routing.py
+++ b/tests/state/own/test_routing.py
@@ -10,9 +10,9 @@
 from walnutquay.state.own.configuration import Configuration, Content
 from walnutquay.state.own.policies import PolicyPrograms, PolicyRequest
 from walnutquay.state.own.routing import (
-    Doubts,
-    Question,
-    allowed,
+    LocalRestrictions,
+    RoutingRequest,
+    check_allowed,
     plan,
     rollout_share,
     session_fraction,
@@ -30,7 +30,7 @@
 from walnutquay.state.store.parts import Cascade, Organisation, Policy, Rollout, Version
 
 VERSIONS = ("small-1", "small-2", "large-1")
-NO_DOUBTS = Doubts()
+NO_DOUBTS = LocalRestrictions()
 SESSIONS = [SessionId(f"ses-{number}") for number in range(2000)]
 
 
@@ -72,12 +72,12 @@
     asked: str = "both",
     session: str = "s",
     bound: Pin | None = None,
-    doubts: Doubts = NO_DOUBTS,
+    doubts: LocalRestrictions = NO_DOUBTS,
 ):
     """:returns: the plan's version names, or the refusal's code."""
     programs = PolicyPrograms()
     programs.load(config.content.policies)
-    question = Question(
+    question = RoutingRequest(
         config.organisations["org"], asked, "c", "small", False, session, bound
     )
     result = plan(config, programs, question, doubts)
@@ -116,23 +116,25 @@
     """The last word before a dispatch."""
 
     def test_table(self):
-        for state, bound, unconfirmed, braked, code in ALLOWED:
-            with self.subTest(state=state, bound=bound, braked=braked):
+        for state, bound, unconfirmed, rejected, code in ALLOWED:
+            with self.subTest(state=state, bound=bound, rejected=rejected):
                 config = configuration({"small-1": state}, unconfirmed_for=10)
-                held = frozenset({"small-1"}) if braked else frozenset()
-                doubts = Doubts(unconfirmed, held)
-                refusal = allowed(config, "org", "small-1", bound, doubts)
+                held = frozenset({"small-1"}) if rejected else frozenset()
+                doubts = LocalRestrictions(unconfirmed, held)
+                refusal = check_allowed(config, "org", "small-1", bound, doubts)
                 self.assertEqual(refusal and refusal.code, code)
 
     def test_only_listed_versions_and_known_organisations(self):
         config = configuration(organisation={"versions": ("small-1",)})
         for organisation, version in (("org", "large-1"), ("none", "small-1")):
-            refusal = allowed(config, organisation, version, True, NO_DOUBTS)
+            refusal = check_allowed(config, organisation, version, True, NO_DOUBTS)
             self.assertEqual(refusal.code, RefusalCode.NOT_ALLOWED)
 
     def test_a_settled_version_needs_no_confirmation(self):
-        doubts = Doubts(float("inf"))
-        self.assertIsNone(allowed(configuration(), "org", "small-1", False, doubts))
+        doubts = LocalRestrictions(float("inf"))
+        self.assertIsNone(
+            check_allowed(configuration(), "org", "small-1", False, doubts)
+        )
 
 
 # asked, states, pin -> the plan's versions, or a code
@@ -225,7 +227,7 @@
 
     def test_a_braked_version_gets_no_new_session_and_keeps_its_own(self):
         config = configuration(rollout=rollout(RolloutState.DONE))
-        doubts = Doubts(braked=frozenset({"small-2"}))
+        doubts = LocalRestrictions(rejected=frozenset({"small-2"}))
         self.assertEqual(ask(config, doubts=doubts), ("small-1", "large-1"))
         bound = pin(small="small-2")
         self.assertEqual(
--- a/walnutquay/coordination/own/admission.py
+++ b/walnutquay/coordination/own/admission.py
@@ -13,7 +13,7 @@
 from walnutquay.coordination.own.configurations import Configurations
 from walnutquay.coordination.process.context import Context
 from walnutquay.coordination.requests.slots import Grant, SlotRequest
-from walnutquay.state.own.admission import PoolQueue, Waiting
+from walnutquay.state.own.admission import PoolQueue, QueuedRequest
 from walnutquay.state.own.configuration import Configuration
 from walnutquay.state.process.events import EventKind
 from walnutquay.state.process.ids import RequestId
@@ -121,7 +121,7 @@
         facts.in_flight -= 1
         queue = self._queue(grant.endpoint.pool)
         queue.running -= 1
-        queue.finished(monotonic() - grant.started)
+        queue.record_duration(monotonic() - grant.started)
         self.wake(grant.endpoint.pool)
 
     def full(self, grant: Grant) -> None:
@@ -201,11 +201,11 @@
         queue.running += 1
         return Grant(endpoint, now, queue.pool.work)
 
-    def _has_room(self, now: float) -> Callable[[Waiting], bool]:
+    def _has_room(self, now: float) -> Callable[[QueuedRequest], bool]:
         """Make the test whether a request that waits can have a place now."""
         known: dict[tuple[str, frozenset[str], object], bool] = {}
 
-        def has_room(waiting: Waiting) -> bool:
+        def has_room(waiting: QueuedRequest) -> bool:
             need = self.waiters[waiting.request].need
             question = (waiting.target, waiting.tried, need.regions)
             if question not in known:
@@ -225,7 +225,7 @@
         until = min(
             queue.latest_start(need.deadline), need.since + queue.pool.queue_seconds
         )
-        waiting = Waiting(
+        waiting = QueuedRequest(
             need.request,
             need.organisation,
             need.weight,
--- a/walnutquay/coordination/own/chats.py
+++ b/walnutquay/coordination/own/chats.py
@@ -29,7 +29,7 @@
 from walnutquay.exceptions import EndpointError
 from walnutquay.protocol import chat
 from walnutquay.state.own.claims import RunState, WholeAnswer
-from walnutquay.state.own.routing import allowed
+from walnutquay.state.own.routing import check_allowed
 from walnutquay.state.process.events import EventKind
 from walnutquay.state.requests.refusals import Refusal, RefusalCode
 from walnutquay.state.requests.stages import (
@@ -91,7 +91,7 @@
 
         :returns: why the present version may not run now, or None.
         """
-        return allowed(
+        return check_allowed(
             self.parts.configurations.current,
             turn.arrival.organisation.name,
             turn.target,
--- a/walnutquay/coordination/own/health.py
+++ b/walnutquay/coordination/own/health.py
@@ -11,7 +11,7 @@
 from walnutquay.coordination.process.dispatcher import Dispatcher
 from walnutquay.protocol.messages import Envelope
 from walnutquay.protocol.ownmessages import VersionBrake
-from walnutquay.state.own.brakes import BrakeTable, Measure, Stage
+from walnutquay.state.own.circuitbreakers import CircuitBreakerTable, Measure, Stage
 from walnutquay.state.own.configuration import Configuration
 from walnutquay.state.process.events import EventKind
 from walnutquay.state.process.ids import RolloutState
@@ -44,7 +44,7 @@
         self.context = context
         self.members = members
         self.tallies = tallies
-        self.table = BrakeTable()
+        self.table = CircuitBreakerTable()
         self.pace = DurationTable()
         # The stage of each version in roll-out, and since when it is in force here.
         self.since: dict[str, tuple[str, float]] = {}
@@ -61,7 +61,7 @@
             for rollout in configuration.content.rollouts
             if rollout.state in (RolloutState.RUNNING, RolloutState.PAUSED)
         }
-        self.table.under_rollout(stages)
+        self.table.set_stages(stages)
         now = monotonic()
         self.since = {
             version: self.since[version]
@@ -125,7 +125,7 @@
         if not subject.startswith(TRIAL + SEPARATOR):
             return
         _, stage, measure, version = subject.split(SEPARATOR)
-        if not self.table.take(stage, version, Measure(measure), good, bad):
+        if not self.table.record(stage, version, Measure(measure), good, bad):
             return
         self._tell(version, f"the test of {measure} outcomes says so")
         self.members.tell_all(VersionBrake(version))
@@ -134,7 +134,7 @@
         """:param envelope: a peer's brake."""
         assert isinstance(envelope.body, VersionBrake)
         version = envelope.body.version
-        if self.table.brake(version):
+        if self.table.reject(version):
             self._tell(version, f"{envelope.vm} says so")
 
     def _tell(self, version: str, why: str) -> None:
--- a/walnutquay/coordination/own/planning.py
+++ b/walnutquay/coordination/own/planning.py
@@ -14,7 +14,7 @@
 from walnutquay.coordination.own.turns import ChatTurn
 from walnutquay.coordination.requests.outcomes import ChatArrival
 from walnutquay.exceptions import TokenError
-from walnutquay.state.own.routing import Doubts, Plan, Question, plan
+from walnutquay.state.own.routing import LocalRestrictions, Plan, RoutingRequest, plan
 from walnutquay.state.own.sessions import Pin, PinSealer
 from walnutquay.state.process.ids import SessionId
 from walnutquay.state.requests.refusals import Refusal, RefusalCode
@@ -42,10 +42,10 @@
         self.sealer = sealer
         self.pins = pins
 
-    def doubts(self) -> Doubts:
+    def doubts(self) -> LocalRestrictions:
         """:returns: what this VM holds against versions by itself."""
         age = self.parts.configurations.confirmed_age()
-        return Doubts(age, self.parts.health.table.braked)
+        return LocalRestrictions(age, self.parts.health.table.rejected)
 
     async def plan(self, arrival: ChatArrival) -> Result[ChatTurn, Refusal]:
         """Plan a request.
@@ -97,7 +97,7 @@
             return Error(
                 Refusal(RefusalCode.NOT_ALLOWED, "the organisation is no more")
             )
-        question = Question(
+        question = RoutingRequest(
             organisation,
             arrival.call.model,
             arrival.request_class,
--- a/walnutquay/coordination/own/rollouts.py
+++ b/walnutquay/coordination/own/rollouts.py
@@ -83,7 +83,7 @@
         """Withdraw a version that VMs hold back, or go on with one that is good."""
         under_way = rollout.state in (RolloutState.RUNNING, RolloutState.PAUSED)
         table = self.health.table
-        if under_way and rollout.new in table.braked:
+        if under_way and rollout.new in table.rejected:
             await self._act(rollout, Action.WITHDRAW)
         elif (
             rollout.automatic
--- a/walnutquay/coordination/own/tallies.py
+++ b/walnutquay/coordination/own/tallies.py
@@ -12,7 +12,7 @@
 from walnutquay.protocol.messages import Envelope
 from walnutquay.protocol.ownmessages import TallyNews
 from walnutquay.state.fleet.membership import HEARTBEAT_FANOUT
-from walnutquay.state.own.tallies import TallyBoard
+from walnutquay.state.own.outcomecounts import OutcomeCountTable
 
 TALLY_SECONDS = 0.5
 # A large fleet tells only in every so many rounds.
@@ -37,7 +37,7 @@
     ) -> None:
         self.context = context
         self.members = members
-        self.board = TallyBoard(context.vm, context.incarnation, context.rng)
+        self.board = OutcomeCountTable(context.vm, context.incarnation, context.rng)
         self.listeners: list[Listener] = []
         self.rounds = 0
         dispatcher.on(TallyNews, self.on_news)
@@ -62,7 +62,7 @@
         large = len(self.members.table.members) > HEARTBEAT_FANOUT
         if large and self.rounds % LARGE_ROUNDS:
             return
-        rows = self.board.to_tell()
+        rows = self.board.rows_to_send()
         if not rows:
             return
         targets = self.members.table.targets()
@@ -75,7 +75,7 @@
         """:param envelope: what another VM tells."""
         assert isinstance(envelope.body, TallyNews)
         for row in envelope.body.rows:
-            good, bad = self.board.hear(row)
+            good, bad = self.board.receive(row)
             if good or bad:
                 self._hand_on(row.subject, good, bad)
 
--- a/walnutquay/daemon/status.py
+++ b/walnutquay/daemon/status.py
@@ -73,7 +73,7 @@
             for rollout in configurations.current.content.rollouts
         ],
         "emptied": emptied_halls(parts),
-        "braked": sorted(parts.health.table.braked),
+        "braked": sorted(parts.health.table.rejected),
         "failed_policies": configurations.programs.failed,
         "metrics": metrics,
     }
--- a/walnutquay/protocol/ownmessages.py
+++ b/walnutquay/protocol/ownmessages.py
@@ -9,7 +9,7 @@
 from walnutquay.protocol.messages import Message
 from walnutquay.state.fleet.membership import MemberNews
 from walnutquay.state.own.claims import RunState, WholeAnswer
-from walnutquay.state.own.tallies import TallyRow
+from walnutquay.state.own.outcomecounts import OutcomeCount
 
 
 @dataclass(frozen=True, slots=True)
@@ -173,4 +173,4 @@
     :param rows: the counts.
     """
 
-    rows: tuple[TallyRow, ...]
+    rows: tuple[OutcomeCount, ...]
--- a/walnutquay/protocol/ownpeer.py
+++ b/walnutquay/protocol/ownpeer.py
@@ -14,7 +14,7 @@
 from walnutquay.protocol.peerfields import body_fields, flat_fields
 from walnutquay.state.fleet.membership import Address, MemberNews
 from walnutquay.state.own.claims import RunState, WholeAnswer
-from walnutquay.state.own.tallies import TallyRow
+from walnutquay.state.own.outcomecounts import OutcomeCount
 from walnutquay.state.process.ids import HallName, Incarnation, VmName
 
 # How each message is written: its member of the schema, and its fields.
@@ -189,7 +189,7 @@
 def _tallies(reader: Any) -> own.TallyNews:
     return own.TallyNews(
         tuple(
-            TallyRow(row.vm, row.incarnation, row.subject, row.good, row.bad)
+            OutcomeCount(row.vm, row.incarnation, row.subject, row.good, row.bad)
             for row in reader
         )
     )
--- a/walnutquay/state/own/admission.py
+++ b/walnutquay/state/own/admission.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class Waiting:
+class QueuedRequest:
     """A request that waits for an endpoint.
 
     :param request: its id.
@@ -43,7 +43,7 @@
 class _OrganisationQueue:
     """One organisation's queue in one pool and its virtual finish time."""
 
-    waiting: deque[Waiting] = field(default_factory=deque)
+    waiting: deque[QueuedRequest] = field(default_factory=deque)
     finish: float = 0.0
     # When its last request was served, if others have waited ever since, and the
     # running mean of the time from one to the next; seconds.
@@ -112,7 +112,7 @@
         """
         return deadline - self.mean_seconds
 
-    def offer(self, waiting: Waiting, now: float, slots: int) -> Refusal | None:
+    def offer(self, waiting: QueuedRequest, now: float, slots: int) -> Refusal | None:
         """Let a request join the queue, or refuse it at once.
 
         :param waiting: the request.
@@ -140,7 +140,7 @@
         self.length += 1
         return None
 
-    def _limit(self, waiting: Waiting) -> float:
+    def _limit(self, waiting: QueuedRequest) -> float:
         """Bound the queue for one organisation.
 
         One that already fills its share of the queue meets the end earlier than
@@ -153,7 +153,9 @@
             return self.pool.queue_length * 0.9
         return self.pool.queue_length
 
-    def next(self, can_run: Callable[[Waiting], bool], now: float) -> Waiting | None:
+    def next(
+        self, can_run: Callable[[QueuedRequest], bool], now: float
+    ) -> QueuedRequest | None:
         """Take the request that is served next.
 
         :param can_run: tells whether there is room for a request now.
@@ -170,7 +172,7 @@
                     return self._take(queue, index, now)
         return None
 
-    def _take(self, queue: _OrganisationQueue, index: int, now: float) -> Waiting:
+    def _take(self, queue: _OrganisationQueue, index: int, now: float) -> QueuedRequest:
         waiting = queue.waiting[index]
         del queue.waiting[index]
         queue.served(now)
@@ -196,7 +198,7 @@
                     return True
         return False
 
-    def finished(self, seconds: float) -> None:
+    def record_duration(self, seconds: float) -> None:
         """Learn how long a request held its endpoint.
 
         :param seconds: how long.
--- a/walnutquay/state/own/brakes.py
+++ b/walnutquay/state/own/circuitbreakers.py
@@ -72,7 +72,7 @@
         return Verdict.GOOD if good else Verdict.UNDECIDED
 
 
-class BrakeTable:
+class CircuitBreakerTable:
     """The trials of the versions in roll-out, and which versions are braked.
 
     A brake holds until the roll-out's stage or state changes, for that is an
@@ -81,9 +81,9 @@
 
     def __init__(self) -> None:
         self.trials: dict[str, Trial] = {}
-        self.braked: frozenset[str] = frozenset()
+        self.rejected: frozenset[str] = frozenset()
 
-    def under_rollout(self, stages: dict[str, Stage]) -> None:
+    def set_stages(self, stages: dict[str, Stage]) -> None:
         """Take in which versions are being rolled out.
 
         :param stages: the stage of each version.
@@ -96,7 +96,7 @@
             for version, stage in stages.items()
         }
         changed = {v for v, trial in self.trials.items() if trial is not before.get(v)}
-        self.braked = frozenset(self.braked & set(self.trials) - changed)
+        self.rejected = frozenset(self.rejected & set(self.trials) - changed)
 
     def stages_of(self, version: str) -> list[Stage]:
         """:param version: a version.
@@ -109,7 +109,7 @@
             if version in (new, trial.stage.old)
         ]
 
-    def take(
+    def record(
         self, stage: str, version: str, measure: Measure, good: int, bad: int
     ) -> bool:
         """Take in outcomes, of this VM or of others.
@@ -128,17 +128,17 @@
                 trial.tests[measure].take_other(good, bad)
             elif version == new:
                 verdict = trial.tests[measure].take(good, bad)
-                return verdict is Verdict.BAD and self.brake(new)
+                return verdict is Verdict.BAD and self.reject(new)
         return False
 
-    def brake(self, version: str) -> bool:
+    def reject(self, version: str) -> bool:
         """:param version: a version to hold back.
 
         :returns: whether this is news; only versions in roll-out are braked.
         """
-        if version in self.braked or version not in self.trials:
+        if version in self.rejected or version not in self.trials:
             return False
-        self.braked |= {version}
+        self.rejected |= {version}
         return True
 
     def counts(self, version: str) -> dict[str, dict[str, object]]:
--- a/walnutquay/state/own/tallies.py
+++ b/walnutquay/state/own/outcomecounts.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 # Rows that one message carries; it stays within one datagram.
-ROWS_SENT = 16
+ROWS_PER_MESSAGE = 16
 # A row that changed is told of in so many rounds, since datagrams get lost.
 TELLINGS = 3
 # Rows that are kept; the ones that changed longest ago go first.
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TallyRow:
+class OutcomeCount:
     """How one count of one VM stands.
 
     :param vm: the VM that counts.
@@ -42,7 +42,7 @@
 RowKey = tuple[str, str, str]
 
 
-class TallyBoard:
+class OutcomeCountTable:
     """The counts of one VM and what it has heard of those of others.
 
     Each count only ever grows and has one writer, so rows may be lost, come
@@ -57,7 +57,7 @@
         self.vm = vm
         self.incarnation = incarnation
         self.rng = rng
-        self.rows: dict[RowKey, TallyRow] = {}
+        self.rows: dict[RowKey, OutcomeCount] = {}
         # How often each row that has changed is still to be told.
         self.untold: dict[RowKey, int] = {}
 
@@ -71,10 +71,10 @@
         key = (self.vm, self.incarnation, subject)
         row = self.rows.get(key)
         if row is None:
-            row = TallyRow(*key, 0, 0)
-        self._put(TallyRow(*key, row.good + good, row.bad + bad))
+            row = OutcomeCount(*key, 0, 0)
+        self._put(OutcomeCount(*key, row.good + good, row.bad + bad))
 
-    def hear(self, row: TallyRow) -> tuple[int, int]:
+    def receive(self, row: OutcomeCount) -> tuple[int, int]:
         """Take in another VM's count.
 
         :param row: the count, from that VM or passed on.
@@ -90,7 +90,7 @@
         self._put(row)
         return good, bad
 
-    def _put(self, row: TallyRow) -> None:
+    def _put(self, row: OutcomeCount) -> None:
         # Anew, so that the dictionary's order is that of the last change.
         self.rows.pop(row.key, None)
         self.rows[row.key] = row
@@ -100,18 +100,20 @@
             del self.rows[oldest]
             self.untold.pop(oldest, None)
 
-    def to_tell(self) -> list[TallyRow]:
+    def rows_to_send(self) -> list[OutcomeCount]:
         """Choose what this round's message carries, own counts first.
 
         :returns: rows that have changed; none where all is told.
         """
         keys = list(self.untold)
-        if len(keys) > ROWS_SENT:
+        if len(keys) > ROWS_PER_MESSAGE:
             own = [key for key in keys if key[0] == self.vm]
             others = [key for key in keys if key[0] != self.vm]
             self.rng.shuffle(own)
             self.rng.shuffle(others)
-            keys = (own[: ROWS_SENT // 2] + others + own[ROWS_SENT // 2 :])[:ROWS_SENT]
+            keys = (
+                own[: ROWS_PER_MESSAGE // 2] + others + own[ROWS_PER_MESSAGE // 2 :]
+            )[:ROWS_PER_MESSAGE]
         for key in keys:
             self.untold[key] -= 1
             if not self.untold[key]:
--- a/walnutquay/state/own/routing.py
+++ b/walnutquay/state/own/routing.py
@@ -2,7 +2,7 @@
 
 """The decision which versions may serve a request, and in which order.
 
-A policy program proposes; :func:`allowed` disposes.  It is asked when a
+A policy program proposes; :func:`check_allowed` disposes.  It is asked when a
 request is planned and again right before each dispatch, so that a change which
 comes into force meanwhile counts for work that waited.
 """
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Question:
+class RoutingRequest:
     """What routing needs to know of a request.
 
     :param organisation: whose request it is.
@@ -74,17 +74,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Doubts:
+class LocalRestrictions:
     """What this VM holds against versions by itself.
 
     :param unconfirmed_for: seconds since this VM last heard, from the platform
         or a peer that did, that its configuration is the newest.
-    :param braked: versions that are held back after failures seen here or by
+    :param rejected: versions that are held back after failures seen here or by
         peers.
     """
 
     unconfirmed_for: float = 0.0
-    braked: frozenset[str] = frozenset()
+    rejected: frozenset[str] = frozenset()
 
 
 def session_fraction(session: SessionId, rollout: Rollout) -> float:
@@ -110,12 +110,12 @@
     return rollout.stages[rollout.stage]
 
 
-def allowed(
+def check_allowed(
     configuration: Configuration,
     organisation: str,
     version: str,
     bound: bool,
-    doubts: Doubts,
+    doubts: LocalRestrictions,
 ) -> Refusal | None:
     """Say whether a version may be given work now; the last word on it.
 
@@ -146,7 +146,7 @@
             f"version {version} could not be confirmed for too long",
             UNCONFIRMED_RETRY,
         )
-    if version in doubts.braked and not bound:
+    if version in doubts.rejected and not bound:
         return Refusal(
             RefusalCode.NO_VERSION, f"version {version} is held back after failures"
         )
@@ -154,7 +154,10 @@
 
 
 def _version_for_model(
-    configuration: Configuration, question: Question, model: str, doubts: Doubts
+    configuration: Configuration,
+    question: RoutingRequest,
+    model: str,
+    doubts: LocalRestrictions,
 ) -> list[Version]:
     """List the versions of one model that may serve, the preferred one first."""
     versions = configuration.versions_of_model.get(model, [])
@@ -162,7 +165,7 @@
         version
         for version in versions
         if version.state is VersionState.ACTIVE
-        and allowed(
+        and check_allowed(
             configuration, question.organisation.name, version.name, False, doubts
         )
         is None
@@ -185,8 +188,8 @@
 def plan(
     configuration: Configuration,
     programs: PolicyPrograms,
-    question: Question,
-    doubts: Doubts,
+    question: RoutingRequest,
+    doubts: LocalRestrictions,
 ) -> Result[Plan, Refusal]:
     """Decide which versions may serve a request, and in which order.
 
@@ -219,7 +222,10 @@
 
 
 def _plan_version(
-    configuration: Configuration, question: Question, version: Version, doubts: Doubts
+    configuration: Configuration,
+    question: RoutingRequest,
+    version: Version,
+    doubts: LocalRestrictions,
 ) -> Result[Plan, Refusal]:
     """Plan a request that names its version."""
     pin = question.pin
@@ -232,7 +238,7 @@
             )
         )
     bound = pinned is not None
-    refusal = allowed(
+    refusal = check_allowed(
         configuration, question.organisation.name, version.name, bound, doubts
     )
     return Error(refusal) if refusal is not None else Ok(Plan((version,)))
@@ -241,9 +247,9 @@
 def _plan_cascade(
     configuration: Configuration,
     programs: PolicyPrograms,
-    question: Question,
+    question: RoutingRequest,
     cascade: Cascade,
-    doubts: Doubts,
+    doubts: LocalRestrictions,
 ) -> Result[Plan, Refusal]:
     """Plan a request that names a cascade."""
     restarted = False
@@ -285,7 +291,10 @@
 
 
 def _step(
-    configuration: Configuration, question: Question, model: str, doubts: Doubts
+    configuration: Configuration,
+    question: RoutingRequest,
+    model: str,
+    doubts: LocalRestrictions,
 ) -> Result[list[Version], Refusal]:
     """Choose the version of one cascade step; none where the model has none."""
     pin = question.pin
@@ -297,7 +306,9 @@
     if version is None:
         gone = f"version {pinned} has been withdrawn"
         return Error(Refusal(RefusalCode.VERSION_WITHDRAWN, gone))
-    refusal = allowed(configuration, question.organisation.name, pinned, True, doubts)
+    refusal = check_allowed(
+        configuration, question.organisation.name, pinned, True, doubts
+    )
     return Error(refusal) if refusal is not None else Ok([version])
 
 
