--- a/lab/mutants/own.py
+++ b/lab/mutants/own.py
@@ -24,8 +24,8 @@
     Mutation(
         "withdrawn: a cut hall ends it by itself",
         "state/own/routing.py",
-        "if entry.unconfirmed_for and doubts",
-        "if False and doubts",
+        "if entry.unconfirmed_for and restrictions",
+        "if False and restrictions",
         "tests.processes.test_configurations.CutHallTest."
         "test_a_young_version_ends_by_itself_and_a_settled_one_goes_on",
     ),
@@ -209,12 +209,12 @@
         "good, bad = self.board.receive(row)",
         "good, bad = 0, 0",
         "tests.state.own.test_rollouts.FleetRolloutTest."
-        "test_failures_that_are_spread_over_all_vms_brake_it",
+        "test_failures_spread_over_all_vms_withdraw_the_version",
     ),
     Mutation(
         "exposure: two versions that do alike are alike",
         "state/own/sequential.py",
-        "if self._differs():",
+        "if self._is_worse():",
         "if True:",
         "tests.state.own.test_rollouts.SequentialTestTest",
     ),
--- a/tests/state/own/test_routing.py
+++ b/tests/state/own/test_routing.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Which versions may serve: fault tables against the pure decision."""
+"""Tests of which versions may serve a request, by tables of cases."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 from walnutquay.state.store.parts import Cascade, Organisation, Policy, Rollout, Version
 
 VERSIONS = ("small-1", "small-2", "large-1")
-NO_DOUBTS = LocalRestrictions()
+NO_RESTRICTIONS = LocalRestrictions()
 SESSIONS = [SessionId(f"ses-{number}") for number in range(2000)]
 
 
@@ -41,7 +41,7 @@
     unconfirmed_for: float = 0.0,
     policies: tuple[Policy, ...] = (),
 ) -> Configuration:
-    """:returns: two models, one organisation, one cascade over both models."""
+    """Return a configuration: two models, an organisation, a cascade of both models."""
     fields = {"versions": VERSIONS, "cascades": ("both",), **(organisation or {})}
     content = Content(
         organisations=(Organisation(name="org", **fields),),
@@ -62,32 +62,32 @@
 
 
 def pin(**versions: str) -> Pin:
-    """:returns: a session's pin on the given version of each model."""
+    """Return the pin of a session that is bound to the given versions, by model."""
     bound = tuple(sorted(versions.items()))
     return Pin(SessionId("s"), OrganisationName("org"), bound)
 
 
-def ask(
+def plan_names(
     config: Configuration,
-    asked: str = "both",
+    requested_name: str = "both",
     session: str = "s",
     bound: Pin | None = None,
-    doubts: LocalRestrictions = NO_DOUBTS,
+    restrictions: LocalRestrictions = NO_RESTRICTIONS,
 ):
-    """:returns: the plan's version names, or the refusal's code."""
+    """Return the names of the planned versions, or the code of the refusal."""
     programs = PolicyPrograms()
     programs.load(config.content.policies)
-    question = RoutingRequest(
-        config.organisations["org"], asked, "c", "small", False, session, bound
+    request = RoutingRequest(
+        config.organisations["org"], requested_name, "c", "small", False, session, bound
     )
-    result = plan(config, programs, question, doubts)
+    result = plan(config, programs, request, restrictions)
     if result.is_error():
         return result.error.code
     return tuple(version.name for version in result.ok.steps)
 
 
 def rollout(state: RolloutState = RolloutState.RUNNING, stage: int = 0) -> Rollout:
-    """:returns: a roll-out from small-1 to small-2."""
+    """Return a roll-out from small-1 to small-2."""
     return Rollout(
         name="r", model="small", old="small-1", new="small-2", state=state, stage=stage
     )
@@ -95,7 +95,8 @@
 
 ACTIVE, DRAINING, WITHDRAWN = VersionState
 
-# version's state, bound to it?, seconds unconfirmed, braked? -> code or None
+# version's state, whether the session is bound to it, seconds unconfirmed, whether the
+# version is rejected, refusal code or None
 ALLOWED = [
     (ACTIVE, False, 0, False, None),
     (ACTIVE, True, 0, False, None),
@@ -113,31 +114,33 @@
 
 
 class AllowedTest(unittest.TestCase):
-    """The last word before a dispatch."""
+    """The check before each dispatch."""
 
-    def test_table(self):
+    def test_cases(self):
         for state, bound, unconfirmed, rejected, code in ALLOWED:
             with self.subTest(state=state, bound=bound, rejected=rejected):
                 config = configuration({"small-1": state}, unconfirmed_for=10)
-                held = frozenset({"small-1"}) if rejected else frozenset()
-                doubts = LocalRestrictions(unconfirmed, held)
-                refusal = check_allowed(config, "org", "small-1", bound, doubts)
+                rejected_versions = frozenset({"small-1"}) if rejected else frozenset()
+                restrictions = LocalRestrictions(unconfirmed, rejected_versions)
+                refusal = check_allowed(config, "org", "small-1", bound, restrictions)
                 self.assertEqual(refusal and refusal.code, code)
 
-    def test_only_listed_versions_and_known_organisations(self):
+    def test_unlisted_versions_and_unknown_organisations_are_refused(self):
         config = configuration(organisation={"versions": ("small-1",)})
         for organisation, version in (("org", "large-1"), ("none", "small-1")):
-            refusal = check_allowed(config, organisation, version, True, NO_DOUBTS)
+            refusal = check_allowed(
+                config, organisation, version, True, NO_RESTRICTIONS
+            )
             self.assertEqual(refusal.code, RefusalCode.NOT_ALLOWED)
 
-    def test_a_settled_version_needs_no_confirmation(self):
-        doubts = LocalRestrictions(float("inf"))
+    def test_version_without_limit_needs_no_confirmation(self):
+        restrictions = LocalRestrictions(float("inf"))
         self.assertIsNone(
-            check_allowed(configuration(), "org", "small-1", False, doubts)
+            check_allowed(configuration(), "org", "small-1", False, restrictions)
         )
 
 
-# asked, states, pin -> the plan's versions, or a code
+# requested name, states, pin, planned versions or refusal code
 PLANS = [
     ("both", {}, None, ("small-1", "large-1")),
     ("small-1", {}, None, ("small-1",)),
@@ -168,32 +171,35 @@
 class PlanTest(unittest.TestCase):
     """The versions to try, and their order."""
 
-    def test_table(self):
-        for asked, states, bound, expected in PLANS:
-            with self.subTest(asked=asked, states=states, bound=bound):
+    def test_cases(self):
+        for requested_name, states, bound, expected in PLANS:
+            with self.subTest(
+                requested_name=requested_name, states=states, bound=bound
+            ):
                 self.assertEqual(
-                    ask(configuration(states), asked, bound=bound), expected
+                    plan_names(configuration(states), requested_name, bound=bound),
+                    expected,
                 )
 
-    def test_a_withdrawn_session_may_begin_anew_where_the_organisation_says_so(self):
+    def test_session_of_a_withdrawn_version_restarts_if_configured(self):
         config = configuration(
             {"small-1": WITHDRAWN},
             organisation={"on_withdrawn": OnWithdrawn.NEW_SESSION},
         )
         bound = pin(small="small-1")
-        self.assertEqual(ask(config, bound=bound), ("small-2", "large-1"))
+        self.assertEqual(plan_names(config, bound=bound), ("small-2", "large-1"))
 
-    def test_cascades_of_others_are_refused(self):
+    def test_unlisted_cascades_are_refused(self):
         config = configuration(organisation={"cascades": ()})
-        self.assertEqual(ask(config), RefusalCode.NOT_ALLOWED)
+        self.assertEqual(plan_names(config), RefusalCode.NOT_ALLOWED)
 
 
 class RolloutShareTest(unittest.TestCase):
-    """A share bounds the exposure to the new version, and holds sessions."""
+    """A share limits the exposure to the new version, and sessions keep theirs."""
 
     def new_sessions(self, config: Configuration) -> set[str]:
-        """:returns: the sessions that begin on the new version."""
-        return {s for s in SESSIONS if ask(config, session=s)[0] == "small-2"}
+        """Return the sessions that are assigned to the new version."""
+        return {s for s in SESSIONS if plan_names(config, session=s)[0] == "small-2"}
 
     def test_shares_by_state_and_stage(self):
         cases = [
@@ -219,24 +225,27 @@
         self.assertLess(stages[0], stages[1])
         self.assertLess(stages[1], stages[2])
 
-    def test_the_new_version_never_stands_in_for_the_old(self):
+    def test_new_version_never_replaces_the_old_one(self):
         config = configuration({"small-1": WITHDRAWN}, rollout())
-        kept_out = [s for s in SESSIONS if session_fraction(s, rollout()) >= 0.05]
-        for session in kept_out[:50]:
-            self.assertEqual(ask(config, session=session), ("large-1",))
+        on_old = [s for s in SESSIONS if session_fraction(s, rollout()) >= 0.05]
+        for session in on_old[:50]:
+            self.assertEqual(plan_names(config, session=session), ("large-1",))
 
-    def test_a_braked_version_gets_no_new_session_and_keeps_its_own(self):
+    def test_rejected_version_gets_no_new_sessions_and_keeps_its_own(self):
         config = configuration(rollout=rollout(RolloutState.DONE))
-        doubts = LocalRestrictions(rejected=frozenset({"small-2"}))
-        self.assertEqual(ask(config, doubts=doubts), ("small-1", "large-1"))
+        restrictions = LocalRestrictions(rejected=frozenset({"small-2"}))
+        self.assertEqual(
+            plan_names(config, restrictions=restrictions), ("small-1", "large-1")
+        )
         bound = pin(small="small-2")
         self.assertEqual(
-            ask(config, bound=bound, doubts=doubts), ("small-2", "large-1")
+            plan_names(config, bound=bound, restrictions=restrictions),
+            ("small-2", "large-1"),
         )
 
 
 def program(*lines: str) -> str:
-    """:returns: a policy program whose function has the given lines."""
+    """Return a policy program whose function has the given lines."""
     return "\n    ".join(("def route(request, candidates):", *lines))
 
 
@@ -247,11 +256,11 @@
 SPINS = program("for i in range(1000000000):", "    pass")
 RECURSES = "def f(x):\n    return f(x)\n\n" + program("return f(1)")
 WRONG_TYPE = program("return 'small-1'")
-NOT_THERE = "def other():\n    pass"
+NO_FUNCTION = "def other():\n    pass"
 NO_SYNTAX = "def route(:"
 SPINS_AT_LOAD = "x = [i for i in range(1000000000)]\n" + NOTHING
 
-# program -> what the plan is, and whether the check at apply takes it
+# program, planned versions or refusal code, whether the check at apply accepts it
 POLICIES = [
     (REVERSED, ("large-1", "small-1"), True),
     (INVENTS, ("small-1",), True),
@@ -260,24 +269,28 @@
     (SPINS, ("small-1", "large-1"), False),
     (RECURSES, ("small-1", "large-1"), False),
     (WRONG_TYPE, ("small-1", "large-1"), False),
-    (NOT_THERE, ("small-1", "large-1"), False),
+    (NO_FUNCTION, ("small-1", "large-1"), False),
     (NO_SYNTAX, ("small-1", "large-1"), False),
     (SPINS_AT_LOAD, ("small-1", "large-1"), False),
 ]
 
 
 class PolicyTest(unittest.TestCase):
-    """No program breaks what must hold; a bad one is refused, or falls back."""
+    """Programs cannot bypass the rules.
+
+    A program that fails is refused when it is applied, and falls back to the default
+    order when it runs.
+    """
 
-    def test_table(self):
-        for source, expected, taken in POLICIES:
+    def test_cases(self):
+        for source, expected, is_valid in POLICIES:
             with self.subTest(source=source):
                 policy = Policy(name="p", source=source)
                 config = configuration(organisation={"policy": "p"}, policies=(policy,))
-                self.assertEqual(ask(config), expected)
-                self.assertEqual(PolicyPrograms.check(policy) is None, taken)
+                self.assertEqual(plan_names(config), expected)
+                self.assertEqual(PolicyPrograms.check(policy) is None, is_valid)
 
-    def test_a_program_that_goes_bad_leaves_the_last_good_one(self):
+    def test_last_good_program_is_used_if_the_new_one_fails_to_load(self):
         programs = PolicyPrograms()
         programs.load((Policy(name="p", source=REVERSED),))
         programs.load((Policy(name="p", source=NO_SYNTAX),))
@@ -287,7 +300,7 @@
         self.assertEqual(order, ("large-1", "small-2", "small-1"))
         self.assertIn("p", programs.failed)
 
-    def test_the_bound_is_the_same_on_each_run(self):
+    def test_execution_limit_is_deterministic(self):
         messages = {PolicyPrograms.check(Policy(name="p", source=SPINS))}
         messages.add(PolicyPrograms.check(Policy(name="p", source=SPINS)))
         self.assertEqual(len(messages), 1)
--- a/walnutquay/state/own/__init__.py
+++ b/walnutquay/state/own/__init__.py
@@ -1,7 +1,8 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Our own interface: organisations, versions, cascades, claims, bills and sessions.
+"""The state behind Walnutquay's own interface.
 
-Decided from the operators' configuration, which stands whole in the store, and from the
-tokens and keys of callers.
+It comprises organisations, versions, cascades, claims, bills and sessions.  Decisions
+rest on the operators' configuration, which is stored in full, and on the tokens and
+keys of callers.
 """
--- a/walnutquay/state/own/admission.py
+++ b/walnutquay/state/own/admission.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Queues before the pools: fair shares, deadlines, and refusals at once."""
+"""Request queues of the pools: fair shares, deadlines and immediate refusals."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from walnutquay.state.requests.refusals import Refusal, RefusalCode
 from walnutquay.state.store.parts import Pool
 
-# Until a pool has answered something, its requests are taken to last this long.
-FIRST_GUESS_SECONDS = 0.5
-# Weight of the newest duration in the running mean.
+# The assumed duration of a request until one has ended in the pool.
+INITIAL_MEAN_SECONDS = 0.5
+# Weight of the latest value in the running means.
 MEAN_WEIGHT = 0.1
 MIN_RETRY_AFTER = 0.1
 
@@ -23,12 +23,12 @@
 class QueuedRequest:
     """A request that waits for an endpoint.
 
-    :param request: its id.
-    :param organisation: whose it is.
+    :param request: the request's id.
+    :param organisation: the organisation that sent it.
     :param weight: the organisation's weight.
-    :param deadline: when it is given up on; monotonic seconds.
-    :param target: the version or service that is to run.
-    :param tried: endpoints that have failed it.
+    :param deadline: the latest time at which it may start; monotonic seconds.
+    :param target: the version or service that it needs.
+    :param tried: the endpoints at which it has failed.
     """
 
     request: RequestId
@@ -41,17 +41,21 @@
 
 @dataclass(slots=True)
 class _OrganisationQueue:
-    """One organisation's queue in one pool and its virtual finish time."""
+    """One organisation's queue in one pool, and its virtual finish time."""
 
     waiting: deque[QueuedRequest] = field(default_factory=deque)
     finish: float = 0.0
-    # When its last request was served, if others have waited ever since, and the
-    # running mean of the time from one to the next; seconds.
+    # When its last request was served, or None if the queue has been empty since;
+    # monotonic seconds.
     served_at: float | None = None
+    # The running mean of the time between two requests served; seconds.
     interval: float = 0.0
 
-    def served(self, now: float) -> None:
-        """:param now: when one of its requests was served; monotonic seconds."""
+    def record_served(self, now: float) -> None:
+        """Update the mean interval after a request has been served.
+
+        :param now: monotonic seconds.
+        """
         if self.served_at is not None:
             weight = MEAN_WEIGHT if self.interval else 1.0
             self.interval += weight * (now - self.served_at - self.interval)
@@ -61,9 +65,9 @@
 class PoolQueue:
     """The queue of one pool on one VM.
 
-    Each organisation has a queue of its own; the one whose virtual finish time
-    is the least is served next, and each turn moves its time on by the inverse
-    of its weight (start-time fair queueing with unit cost).
+    Each organisation has its own queue.  The queue with the smallest virtual finish
+    time is served next, which advances that time by the inverse of the organisation's
+    weight (start-time fair queueing with unit cost).
 
     :param pool: the pool's configuration.
     """
@@ -72,53 +76,56 @@
         self.pool = pool
         self.queues: dict[str, _OrganisationQueue] = {}
         self.length = 0
-        # The virtual time of the last request that was served.
-        self.virtual_now = 0.0
-        # Running mean of how long a request holds its endpoint; seconds.
-        self.mean_seconds = FIRST_GUESS_SECONDS
-        # Requests that run now from this VM.
+        # The greatest virtual finish time of a served request.
+        self.virtual_time = 0.0
+        # The running mean of the time for which a request uses its endpoint; seconds.
+        self.mean_seconds = INITIAL_MEAN_SECONDS
+        # The number of requests of this VM that are running.
         self.running = 0
 
     def expected_wait(
         self, slots: int, organisation: OrganisationName, weight: float
     ) -> float:
-        """Estimate the wait of a request that joins now.
+        """Estimate the wait of a request that is queued now.
 
-        Its organisation's own requests are served before it, and in the meantime
-        of each other one as many as their weights say, if it has so many.
+        The queued requests of its organisation are served before it.  Meanwhile each
+        other organisation is served in proportion to its weight, until its queue is
+        empty.
 
-        :param slots: requests that the pool runs at once for this VM.
-        :param organisation: whose it is.
+        :param slots: the number of requests that the pool runs at once for this VM.
+        :param organisation: the organisation that sent the request.
         :param weight: the organisation's weight.
         :returns: seconds.
         """
         own = self.queues.get(organisation)
-        turns = (len(own.waiting) if own is not None else 0) + 1
-        before = float(turns)
+        own_requests = (len(own.waiting) if own is not None else 0) + 1
+        requests = float(own_requests)
         for name, queue in self.queues.items():
             if name != organisation and queue.waiting:
-                share = turns * queue.waiting[0].weight / weight
-                before += min(len(queue.waiting), share)
-        wait = before * self.mean_seconds / max(1, slots)
+                share = own_requests * queue.waiting[0].weight / weight
+                requests += min(len(queue.waiting), share)
+        wait = requests * self.mean_seconds / max(1, slots)
         if own is None or own.served_at is None:
             return wait
-        # Of others more will come meanwhile: what it got lately says how many.
-        return max(wait, turns * own.interval)
+        # Other organisations will add requests meanwhile.  The interval at which this
+        # one has recently been served accounts for them.
+        return max(wait, own_requests * own.interval)
 
     def latest_start(self, deadline: float) -> float:
-        """:param deadline: when an answer is due; monotonic seconds.
+        """Return the latest time at which a request can start and meet its deadline.
 
-        :returns: when its request must have begun.
+        :param deadline: when the answer is due; monotonic seconds.
+        :returns: monotonic seconds.
         """
         return deadline - self.mean_seconds
 
     def offer(self, waiting: QueuedRequest, now: float, slots: int) -> Refusal | None:
-        """Let a request join the queue, or refuse it at once.
+        """Queue a request, or refuse it at once.
 
         :param waiting: the request.
         :param now: monotonic seconds.
-        :param slots: requests that the pool runs at once for this VM.
-        :returns: why not, or None.
+        :param slots: the number of requests that the pool runs at once for this VM.
+        :returns: the refusal, or None if the request has been queued.
         """
         wait = self.expected_wait(slots, waiting.organisation, waiting.weight)
         if self.length >= self._limit(waiting):
@@ -135,32 +142,36 @@
             )
         queue = self.queues.setdefault(waiting.organisation, _OrganisationQueue())
         if not queue.waiting:
-            queue.finish = max(queue.finish, self.virtual_now) + 1 / waiting.weight
+            queue.finish = max(queue.finish, self.virtual_time) + 1 / waiting.weight
         queue.waiting.append(waiting)
         self.length += 1
         return None
 
     def _limit(self, waiting: QueuedRequest) -> float:
-        """Bound the queue for one organisation.
+        """Return the queue length at which a request is refused.
 
-        One that already fills its share of the queue meets the end earlier than
-        one that has nothing waiting, so a large one cannot shut out the rest.
+        It is lower for an organisation that exceeds its share of the queue, so that a
+        large organisation cannot crowd out the others.
         """
         own = self.queues.get(waiting.organisation)
-        held = len(own.waiting) if own is not None else 0
-        others = sum(1 for queue in self.queues.values() if queue.waiting)
-        if held and others > 1 and held > self.pool.queue_length / others:
+        queued = len(own.waiting) if own is not None else 0
+        organisations = sum(1 for queue in self.queues.values() if queue.waiting)
+        if (
+            queued
+            and organisations > 1
+            and queued > self.pool.queue_length / organisations
+        ):
             return self.pool.queue_length * 0.9
         return self.pool.queue_length
 
     def next(
         self, can_run: Callable[[QueuedRequest], bool], now: float
     ) -> QueuedRequest | None:
-        """Take the request that is served next.
+        """Remove and return the request to serve next.
 
-        :param can_run: tells whether there is room for a request now.
+        :param can_run: returns whether a request can start now.
         :param now: monotonic seconds.
-        :returns: the request, or None.
+        :returns: the request, or None if no queued request can start.
         """
         order = sorted(
             (item for item in self.queues.items() if item[1].waiting),
@@ -175,18 +186,18 @@
     def _take(self, queue: _OrganisationQueue, index: int, now: float) -> QueuedRequest:
         waiting = queue.waiting[index]
         del queue.waiting[index]
-        queue.served(now)
+        queue.record_served(now)
         self.length -= 1
-        self.virtual_now = max(self.virtual_now, queue.finish)
+        self.virtual_time = max(self.virtual_time, queue.finish)
         if queue.waiting:
             queue.finish += 1 / waiting.weight
         return waiting
 
     def remove(self, request: RequestId) -> bool:
-        """Take a request out, for its caller has gone.
+        """Remove a request, for example because its caller has disconnected.
 
-        :param request: its id.
-        :returns: whether it was there.
+        :param request: the request's id.
+        :returns: whether it was queued.
         """
         for queue in self.queues.values():
             for index, waiting in enumerate(queue.waiting):
@@ -199,18 +210,18 @@
         return False
 
     def record_duration(self, seconds: float) -> None:
-        """Learn how long a request held its endpoint.
+        """Update the mean duration with that of a request that has ended.
 
-        :param seconds: how long.
+        :param seconds: the time for which the request used its endpoint.
         """
         self.mean_seconds += MEAN_WEIGHT * (seconds - self.mean_seconds)
 
 
 class RetryBudget:
-    """Bounds retries to a share of the first tries, so that none can storm.
+    """Limits retries to a share of the first attempts, to prevent retry storms.
 
-    :param share: retries allowed for each first try.
-    :param reserve: retries that may be saved up.
+    :param share: the number of retries allowed for each first attempt.
+    :param reserve: the maximum number of unused retries that are saved.
     """
 
     def __init__(self, share: float = 0.1, reserve: float = 10.0) -> None:
@@ -219,11 +230,14 @@
         self.left = reserve
 
     def first_try(self) -> None:
-        """Count a first try."""
+        """Count a first attempt."""
         self.left = min(self.reserve, self.left + self.share)
 
     def take(self) -> bool:
-        """:returns: whether one retry may be made; it is then counted."""
+        """Count a retry if one is allowed.
+
+        :returns: whether the retry is allowed.
+        """
         if self.left < 1.0:
             return False
         self.left -= 1.0
--- a/walnutquay/state/own/circuitbreakers.py
+++ b/walnutquay/state/own/circuitbreakers.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""When a version that is being rolled out is held back, or may go on."""
+"""Circuit breakers of versions in roll-out: when one is rejected, or may proceed."""
 
 from __future__ import annotations
 
@@ -8,38 +8,38 @@
 from enum import Enum
 
 from walnutquay.state.own.sequential import (
-    Contrast,
     ErrorRates,
+    Hypotheses,
     SequentialTest,
     Verdict,
 )
 
 
 class Measure(Enum):
-    """What is counted of a version."""
+    """A criterion by which outcomes of a version are counted as good or bad."""
 
-    # It failed a request, against answered it.
+    # The request failed.
     FAILED = "failed"
-    # It took far longer than the class of request usually takes.
+    # The request took far longer than the baseline of its class.
     SLOW = "slow"
-    # Its answer was rated below the quality that is asked for.
+    # The answer was rated below the required quality.
     POOR = "poor"
 
 
-CONTRASTS = {
-    Measure.FAILED: Contrast(usual=0.02, excess=0.15),
-    Measure.SLOW: Contrast(usual=0.05, excess=0.25),
-    Measure.POOR: Contrast(usual=0.25, excess=0.25),
+HYPOTHESES = {
+    Measure.FAILED: Hypotheses(prior_share=0.02, excess=0.15),
+    Measure.SLOW: Hypotheses(prior_share=0.05, excess=0.25),
+    Measure.POOR: Hypotheses(prior_share=0.25, excess=0.25),
 }
 RATES = ErrorRates()
 
 
 @dataclass(frozen=True, slots=True)
 class Stage:
-    """A stage of a roll-out, as its tests need it.
+    """A stage of a roll-out.
 
-    :param key: tells it from every other stage of every roll-out.
-    :param old: the version to compare with.
+    :param key: a key that is unique among the stages of all roll-outs.
+    :param old: the version with which the new one is compared.
     """
 
     key: str
@@ -47,21 +47,23 @@
 
 
 def _tests() -> dict[Measure, SequentialTest]:
-    return {m: SequentialTest(contrast, RATES) for m, contrast in CONTRASTS.items()}
+    return {
+        m: SequentialTest(hypotheses, RATES) for m, hypotheses in HYPOTHESES.items()
+    }
 
 
 @dataclass(slots=True)
 class Trial:
-    """A version in a stage of its roll-out, and the tests of it."""
+    """The tests of a version in one stage of its roll-out."""
 
     stage: Stage
     tests: dict[Measure, SequentialTest] = field(default_factory=_tests)
 
     def verdict(self) -> Verdict:
-        """Say what is known of the version.
+        """Combine the verdicts of the tests.
 
-        :returns: ``BAD`` where any test says so; ``GOOD`` where failures and
-            slowness do, and ratings too unless nothing has been rated.
+        :returns: ``BAD`` if any test says so; ``GOOD`` if the tests of failures and
+            slowness do, and that of ratings if there are any; else ``UNDECIDED``.
         """
         verdicts = {measure: test.verdict for measure, test in self.tests.items()}
         if Verdict.BAD in verdicts.values():
@@ -73,10 +75,10 @@
 
 
 class CircuitBreakerTable:
-    """The trials of the versions in roll-out, and which versions are braked.
+    """The trials of the versions in roll-out, and the rejected versions.
 
-    A brake holds until the roll-out's stage or state changes, for that is an
-    operator's or the roll-out duty's word on it.
+    A version stays rejected until its roll-out's stage or state changes, as that is a
+    decision of an operator or of the roll-out duty.
     """
 
     def __init__(self) -> None:
@@ -84,24 +86,30 @@
         self.rejected: frozenset[str] = frozenset()
 
     def set_stages(self, stages: dict[str, Stage]) -> None:
-        """Take in which versions are being rolled out.
+        """Set the versions that are being rolled out.
+
+        The trial of a version whose stage has changed is reset.
 
         :param stages: the stage of each version.
         """
-        before = self.trials
+        previous = self.trials
         self.trials = {
-            version: before[version]
-            if version in before and before[version].stage == stage
+            version: previous[version]
+            if version in previous and previous[version].stage == stage
             else Trial(stage)
             for version, stage in stages.items()
         }
-        changed = {v for v, trial in self.trials.items() if trial is not before.get(v)}
+        changed = {
+            v for v, trial in self.trials.items() if trial is not previous.get(v)
+        }
         self.rejected = frozenset(self.rejected & set(self.trials) - changed)
 
     def stages_of(self, version: str) -> list[Stage]:
-        """:param version: a version.
+        """Return the stages whose new or old version is the given one.
+
+        Outcomes of both versions are counted.
 
-        :returns: the stages in which it is new or old; both are counted.
+        :param version: a version.
         """
         return [
             trial.stage
@@ -112,29 +120,30 @@
     def record(
         self, stage: str, version: str, measure: Measure, good: int, bad: int
     ) -> bool:
-        """Take in outcomes, of this VM or of others.
+        """Add outcomes that this VM or others have counted.
 
-        :param stage: the stage in which they were counted.
+        :param stage: the key of the stage in which they were counted.
         :param version: the version that ran.
-        :param measure: what was counted.
-        :param good: good outcomes.
-        :param bad: bad ones.
-        :returns: whether they braked the version.
+        :param measure: the criterion by which they were counted.
+        :param good: the number of good outcomes.
+        :param bad: the number of bad outcomes.
+        :returns: whether the version is now rejected and was not before.
         """
         for new, trial in self.trials.items():
             if trial.stage.key != stage:
                 continue
             if version == trial.stage.old:
-                trial.tests[measure].take_other(good, bad)
+                trial.tests[measure].record_baseline(good, bad)
             elif version == new:
-                verdict = trial.tests[measure].take(good, bad)
+                verdict = trial.tests[measure].record(good, bad)
                 return verdict is Verdict.BAD and self.reject(new)
         return False
 
     def reject(self, version: str) -> bool:
-        """:param version: a version to hold back.
+        """Reject a version if it is in roll-out.
 
-        :returns: whether this is news; only versions in roll-out are braked.
+        :param version: the version.
+        :returns: whether the version is now rejected and was not before.
         """
         if version in self.rejected or version not in self.trials:
             return False
@@ -142,10 +151,11 @@
         return True
 
     def counts(self, version: str) -> dict[str, dict[str, object]]:
-        """Show a trial.
+        """Return a trial for display.
 
-        :param version: a version in roll-out.
-        :returns: by measure, its outcomes, those of the old version, the verdict.
+        :param version: the new version of a roll-out.
+        :returns: for each measure, the numbers of outcomes of the new and the old
+            version, and the verdict; empty if the version is not in roll-out.
         """
         trial = self.trials.get(version)
         if trial is None:
@@ -154,17 +164,18 @@
             measure.value: {
                 "good": test.good,
                 "bad": test.bad,
-                "old_good": test.other_good,
-                "old_bad": test.other_bad,
+                "old_good": test.baseline_good,
+                "old_bad": test.baseline_bad,
                 "verdict": test.verdict.value,
             }
             for measure, test in trial.tests.items()
         }
 
     def verdict(self, version: str) -> Verdict:
-        """:param version: a version in roll-out.
+        """Return the verdict on a version.
 
-        :returns: what its tests say.
+        :param version: the new version of a roll-out.
+        :returns: the verdict; ``UNDECIDED`` if the version is not in roll-out.
         """
         trial = self.trials.get(version)
         return trial.verdict() if trial is not None else Verdict.UNDECIDED
--- a/walnutquay/state/own/outcomecounts.py
+++ b/walnutquay/state/own/outcomecounts.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Counts of good and bad outcomes, each VM's own, gathered over the fleet."""
+"""Counts of good and bad outcomes, made by each VM and collected across the fleet."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-# Rows that one message carries; it stays within one datagram.
+# The maximum number of rows in a message, so that it fits in one datagram.
 ROWS_PER_MESSAGE = 16
-# A row that changed is told of in so many rounds, since datagrams get lost.
-TELLINGS = 3
-# Rows that are kept; the ones that changed longest ago go first.
+# The number of rounds in which a changed row is sent, as datagrams may be lost.
+SENDS_PER_CHANGE = 3
+# The maximum number of rows; the ones that changed least recently are evicted first.
 MAX_ROWS = 20_000
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeCount:
-    """How one count of one VM stands.
+    """The outcomes that one VM has counted of one subject.
 
     :param vm: the VM that counts.
-    :param incarnation: which start of it; a new one counts from nothing.
+    :param incarnation: the VM's incarnation; each one counts from zero.
     :param subject: what is counted.
-    :param good: good outcomes so far.
-    :param bad: bad outcomes so far.
+    :param good: the number of good outcomes so far.
+    :param bad: the number of bad outcomes so far.
     """
 
     vm: str
@@ -35,7 +35,7 @@
 
     @property
     def key(self) -> RowKey:
-        """What tells this count from all others."""
+        """The key of this count."""
         return self.vm, self.incarnation, self.subject
 
 
@@ -43,14 +43,14 @@
 
 
 class OutcomeCountTable:
-    """The counts of one VM and what it has heard of those of others.
+    """The counts of this VM and those that it has received of other VMs.
 
-    Each count only ever grows and has one writer, so rows may be lost, come
-    twice, or come in any order: the greater one is the newer.
+    Each count has a single writer and never decreases, so rows may be lost, duplicated
+    or reordered: the greater one is the newer one.
 
     :param vm: this VM's name.
-    :param incarnation: this start of it.
-    :param rng: the source of chance.
+    :param incarnation: this VM's incarnation.
+    :param rng: the random number generator.
     """
 
     def __init__(self, vm: str, incarnation: str, rng: random.Random) -> None:
@@ -58,15 +58,15 @@
         self.incarnation = incarnation
         self.rng = rng
         self.rows: dict[RowKey, OutcomeCount] = {}
-        # How often each row that has changed is still to be told.
-        self.untold: dict[RowKey, int] = {}
+        # The number of rounds in which each changed row is still to be sent.
+        self.pending_sends: dict[RowKey, int] = {}
 
     def add(self, subject: str, good: int, bad: int) -> None:
-        """Count outcomes that this VM has seen.
+        """Count outcomes that this VM has observed.
 
         :param subject: what is counted.
-        :param good: good ones.
-        :param bad: bad ones.
+        :param good: the number of good outcomes.
+        :param bad: the number of bad outcomes.
         """
         key = (self.vm, self.incarnation, subject)
         row = self.rows.get(key)
@@ -75,10 +75,10 @@
         self._put(OutcomeCount(*key, row.good + good, row.bad + bad))
 
     def receive(self, row: OutcomeCount) -> tuple[int, int]:
-        """Take in another VM's count.
+        """Apply another VM's count.
 
-        :param row: the count, from that VM or passed on.
-        :returns: the good and the bad outcomes that are news.
+        :param row: the count, received from that VM or relayed by another one.
+        :returns: the numbers of good and bad outcomes that were not known here yet.
         """
         if (row.vm, row.incarnation) == (self.vm, self.incarnation):
             return 0, 0
@@ -91,21 +91,21 @@
         return good, bad
 
     def _put(self, row: OutcomeCount) -> None:
-        # Anew, so that the dictionary's order is that of the last change.
+        # Reinsert the row, as the dictionary is kept in the order of the last change.
         self.rows.pop(row.key, None)
         self.rows[row.key] = row
-        self.untold[row.key] = TELLINGS
+        self.pending_sends[row.key] = SENDS_PER_CHANGE
         if len(self.rows) > MAX_ROWS:
             oldest = next(iter(self.rows))
             del self.rows[oldest]
-            self.untold.pop(oldest, None)
+            self.pending_sends.pop(oldest, None)
 
     def rows_to_send(self) -> list[OutcomeCount]:
-        """Choose what this round's message carries, own counts first.
+        """Choose the rows for the next message, this VM's own ones first.
 
-        :returns: rows that have changed; none where all is told.
+        :returns: changed rows; none if all changes have been sent.
         """
-        keys = list(self.untold)
+        keys = list(self.pending_sends)
         if len(keys) > ROWS_PER_MESSAGE:
             own = [key for key in keys if key[0] == self.vm]
             others = [key for key in keys if key[0] != self.vm]
@@ -115,25 +115,25 @@
                 own[: ROWS_PER_MESSAGE // 2] + others + own[ROWS_PER_MESSAGE // 2 :]
             )[:ROWS_PER_MESSAGE]
         for key in keys:
-            self.untold[key] -= 1
-            if not self.untold[key]:
-                del self.untold[key]
+            self.pending_sends[key] -= 1
+            if not self.pending_sends[key]:
+                del self.pending_sends[key]
         return [self.rows[key] for key in keys]
 
     def forget(self, is_over: Callable[[str], bool]) -> None:
-        """Forget counts that nobody asks for any more.
+        """Drop counts that are no longer needed.
 
-        :param is_over: tells it of a subject.
+        :param is_over: returns whether the counts of a subject are no longer needed.
         """
         for key in [key for key in self.rows if is_over(key[2])]:
             del self.rows[key]
-            self.untold.pop(key, None)
+            self.pending_sends.pop(key, None)
 
     def totals(self, subjects: Iterable[str]) -> dict[str, tuple[int, int]]:
-        """Add the counts of all VMs up.
+        """Sum the counts over all VMs.
 
-        :param subjects: what to add up.
-        :returns: good and bad outcomes by subject.
+        :param subjects: the subjects to sum.
+        :returns: the numbers of good and bad outcomes by subject.
         """
         found = dict.fromkeys(subjects, (0, 0))
         for row in self.rows.values():
--- a/walnutquay/state/own/rollouts.py
+++ b/walnutquay/state/own/rollouts.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What operators may do with a roll-out, as changes of the configuration."""
+"""Actions on roll-outs, as changes of the configuration, and orders to engines."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class RolloutAction(Enum):
-    """What can be done with a roll-out."""
+    """An action on a roll-out."""
 
     START = "start"
     ADVANCE = "advance"
@@ -29,7 +29,7 @@
     WITHDRAW = "withdraw"
 
 
-# The states in which each action may be taken.
+# The states of a roll-out in which each action is allowed.
 ALLOWED_IN = {
     RolloutAction.ADVANCE: (RolloutState.RUNNING,),
     RolloutAction.PAUSE: (RolloutState.RUNNING,),
@@ -45,35 +45,36 @@
 def change_rollout(
     content: Content, name: str, action: RolloutAction, fields: dict[str, Any]
 ) -> Content:
-    """Work out the configuration that follows an operator's action.
-
-    :param content: the present configuration.
-    :param name: the roll-out.
-    :param action: what to do with it.
-    :param fields: for a start: ``model``, ``old``, ``new`` and ``stages``.
-    :raises ConfigurationError: if it cannot be done; it says why.
+    """Return the configuration after an action on a roll-out.
+
+    :param content: the current configuration.
+    :param name: the roll-out's name.
+    :param action: the action.
+    :param fields: the fields of a new roll-out, such as ``model``, ``old``, ``new`` and
+        ``stages``; only used for ``START``.
+    :raises ConfigurationError: if the action is not possible, with the reason.
     """
     if action is RolloutAction.START:
         return _start(content, name, fields)
-    present = {item.name: item for item in content.rollouts}
-    rollout = present.get(name)
+    by_name = {item.name: item for item in content.rollouts}
+    rollout = by_name.get(name)
     if rollout is None:
-        known = ", ".join(present) or "none"
+        known = ", ".join(by_name) or "none"
         raise ConfigurationError(f"no roll-out is called {name!r}; there are: {known}")
     if rollout.state not in ALLOWED_IN[action]:
         raise ConfigurationError(
             f"roll-out {name} is {rollout.state.value}: it cannot be "
             f"{PAST_TENSE[action]}"
         )
-    return STEPS[action](content, rollout)
+    return TRANSITIONS[action](content, rollout)
 
 
 def _start(content: Content, name: str, fields: dict[str, Any]) -> Content:
     if any(item.name == name for item in content.rollouts):
         raise ConfigurationError(f"there is a roll-out called {name!r} already")
-    wanted = {key: value for key, value in fields.items() if key != "operation"}
+    given = {key: value for key, value in fields.items() if key != "operation"}
     try:
-        rollout = Rollout.model_validate({**wanted, "name": name})
+        rollout = Rollout.model_validate({**given, "name": name})
     except ValidationError as error:
         problems = problems_of(error, name, Rollout)
         raise ConfigurationError("\n".join(map(str, problems))) from error
@@ -84,7 +85,7 @@
     return changed
 
 
-def _with(content: Content, rollout: Rollout, **changes: Any) -> Content:
+def _with_changes(content: Content, rollout: Rollout, **changes: Any) -> Content:
     changed = rollout.model_copy(update=changes)
     rollouts = tuple(
         changed if item.name == rollout.name else item for item in content.rollouts
@@ -94,21 +95,21 @@
 
 def _advance(content: Content, rollout: Rollout) -> Content:
     if rollout.stage + 1 < len(rollout.stages):
-        return _with(content, rollout, stage=rollout.stage + 1)
-    return _with(content, rollout, state=RolloutState.DONE)
+        return _with_changes(content, rollout, stage=rollout.stage + 1)
+    return _with_changes(content, rollout, state=RolloutState.DONE)
 
 
 def _pause(content: Content, rollout: Rollout) -> Content:
-    return _with(content, rollout, state=RolloutState.PAUSED)
+    return _with_changes(content, rollout, state=RolloutState.PAUSED)
 
 
 def _resume(content: Content, rollout: Rollout) -> Content:
-    return _with(content, rollout, state=RolloutState.RUNNING)
+    return _with_changes(content, rollout, state=RolloutState.RUNNING)
 
 
 def _withdraw(content: Content, rollout: Rollout) -> Content:
-    """Take the new version out of service and send new sessions to the old."""
-    changed = _with(content, rollout, state=RolloutState.WITHDRAWN)
+    """Withdraw the new version and assign new sessions to the old one."""
+    changed = _with_changes(content, rollout, state=RolloutState.WITHDRAWN)
     versions = tuple(
         item.model_copy(update={"state": VersionState.WITHDRAWN})
         if item.name == rollout.new
@@ -118,7 +119,7 @@
     return changed.model_copy(update={"versions": versions})
 
 
-STEPS: dict[RolloutAction, Callable[[Content, Rollout], Content]] = {
+TRANSITIONS: dict[RolloutAction, Callable[[Content, Rollout], Content]] = {
     RolloutAction.ADVANCE: _advance,
     RolloutAction.PAUSE: _pause,
     RolloutAction.RESUME: _resume,
@@ -127,7 +128,7 @@
 
 
 class OrderAction(Enum):
-    """What an engine can be ordered to do with a version."""
+    """What an engine is ordered to do with a version."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -135,11 +136,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """An order that an engine is to get.
+    """An order to an engine.
 
-    :param endpoint: the engine.
-    :param action: what to do.
-    :param version: with which version.
+    :param endpoint: the engine's endpoint.
+    :param action: the action.
+    :param version: the version to load or unload.
     """
 
     endpoint: str
@@ -150,21 +151,21 @@
 def orders_for(
     rollout: Rollout, endpoints: Iterable[Endpoint], loaded: dict[str, frozenset[str]]
 ) -> list[Order]:
-    """Work out what engines must still be ordered for a roll-out.
+    """Return the orders that engines still need for a roll-out.
 
     :param rollout: the roll-out.
-    :param endpoints: the endpoints that are configured.
-    :param loaded: the versions that each endpoint last reported; one that has
-        not reported gets no order.
+    :param endpoints: the configured endpoints.
+    :param loaded: the versions that each endpoint last reported as loaded.  An endpoint
+        that has not reported gets no order.
     """
-    wanted = rollout.state is not RolloutState.WITHDRAWN
-    action = OrderAction.LOAD if wanted else OrderAction.UNLOAD
+    is_wanted = rollout.state is not RolloutState.WITHDRAWN
+    action = OrderAction.LOAD if is_wanted else OrderAction.UNLOAD
     return [
         Order(endpoint.name, action, rollout.new)
         for endpoint in endpoints
         if rollout.new in endpoint.versions
         and endpoint.name in loaded
-        and (rollout.new in loaded[endpoint.name]) is not wanted
+        and (rollout.new in loaded[endpoint.name]) is not is_wanted
     ]
 
 
--- a/walnutquay/state/own/routing.py
+++ b/walnutquay/state/own/routing.py
@@ -1,10 +1,11 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The decision which versions may serve a request, and in which order.
+"""The choice and order of the versions that may serve a request.
 
-A policy program proposes; :func:`check_allowed` disposes.  It is asked when a
-request is planned and again right before each dispatch, so that a change which
-comes into force meanwhile counts for work that waited.
+An organisation's policy program orders the versions, of which only those are used that
+:func:`check_allowed` permits.  It is called when a request is planned and again right
+before each dispatch, so that a configuration change also applies to requests that were
+waiting when it came into force.
 """
 
 from __future__ import annotations
@@ -28,25 +29,26 @@
 from walnutquay.state.store.parts import Cascade, Organisation, Rollout, Version
 
 HASH_RANGE = 1 << 64
-# A version that cannot be confirmed may be confirmed again this much later.
-UNCONFIRMED_RETRY = 5.0
+# The time after which to retry if a version is unconfirmed, as it may be confirmed by
+# then, or if a cascade has no usable version; seconds.
+UNCONFIRMED_RETRY_SECONDS = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class RoutingRequest:
-    """What routing needs to know of a request.
+    """The properties of a request that matter for routing.
 
-    :param organisation: whose request it is.
-    :param asked: the cascade, model or version that the caller named.
+    :param organisation: the organisation that sent the request.
+    :param requested_name: the cascade or version that the caller named.
     :param request_class: the caller's class of request.
     :param size: ``small``, ``medium`` or ``large``.
     :param stream: whether the answer is streamed.
     :param session: the session's id.
-    :param pin: what the session is bound to, if it has had a turn.
+    :param pin: the versions that the session is bound to; None before its first turn.
     """
 
     organisation: Organisation
-    asked: str
+    requested_name: str
     request_class: str
     size: str
     stream: bool
@@ -56,14 +58,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """The versions to try.
+    """The versions to try for a request.
 
-    :param steps: versions, the first to try first.
-    :param quality: an answer rated below this goes on to the next step.
-    :param cascade: the cascade that was asked for; empty if it was a version.
+    :param steps: the versions in the order in which they are tried.
+    :param quality: the rating below which an answer is passed over for the next step.
+    :param cascade: the requested cascade; empty if a version was requested.
     :param sample: the share of other answers that are rated to learn from them.
-    :param session_restarted: whether the session's old binding was dropped
-        because its version is withdrawn and the organisation wants that.
+    :param session_restarted: whether the session's binding is dropped because its
+        version is withdrawn and the organisation prefers a new session.
     """
 
     steps: tuple[Version, ...]
@@ -75,12 +77,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalRestrictions:
-    """What this VM holds against versions by itself.
+    """Restrictions on versions that this VM applies on its own.
 
-    :param unconfirmed_for: seconds since this VM last heard, from the platform
-        or a peer that did, that its configuration is the newest.
-    :param rejected: versions that are held back after failures seen here or by
-        peers.
+    :param unconfirmed_for: seconds since the platform, or a peer that had queried it,
+        last confirmed that this VM's configuration is the newest.
+    :param rejected: versions that get no new sessions after failures observed by this
+        VM or its peers.
     """
 
     unconfirmed_for: float = 0.0
@@ -88,20 +90,20 @@
 
 
 def session_fraction(session: SessionId, rollout: Rollout) -> float:
-    """Place a session on the scale of a roll-out's share.
+    """Return a session's hash, to be compared with a roll-out's share.
 
     :param session: the session's id.
     :param rollout: the roll-out.
-    :returns: a number from 0 up to, but not including, 1; the same on each VM.
+    :returns: a number in [0, 1), the same on every VM.
     """
     text = f"{rollout.name}/{session}".encode()
     return xxhash.xxh3_64_intdigest(text) / HASH_RANGE
 
 
 def rollout_share(rollout: Rollout) -> float:
-    """:param rollout: a roll-out.
+    """Return the share of new sessions that a roll-out's new version gets.
 
-    :returns: the share of new sessions that its new version gets now.
+    :param rollout: the roll-out.
     """
     if rollout.state is RolloutState.WITHDRAWN:
         return 0.0
@@ -115,16 +117,18 @@
     organisation: str,
     version: str,
     bound: bool,
-    doubts: LocalRestrictions,
+    restrictions: LocalRestrictions,
 ) -> Refusal | None:
-    """Say whether a version may be given work now; the last word on it.
-
-    :param configuration: what is in force at this moment.
-    :param organisation: whose request it is.
-    :param version: the version that is to run.
-    :param bound: whether the session was bound to this version before.
-    :param doubts: what this VM holds against versions by itself.
-    :returns: why not, or None.
+    """Check whether a version may serve a request now.
+
+    No other rule overrides a refusal.
+
+    :param configuration: the configuration that is in force now.
+    :param organisation: the organisation that sent the request.
+    :param version: the version to run.
+    :param bound: whether the session is already bound to the version.
+    :param restrictions: the restrictions that this VM applies on its own.
+    :returns: the refusal, or None if the version may serve the request.
     """
     owner = configuration.organisations.get(organisation)
     if owner is None or version not in owner.versions:
@@ -140,67 +144,67 @@
         return Refusal(
             RefusalCode.NO_VERSION, f"version {version} takes no new sessions"
         )
-    if entry.unconfirmed_for and doubts.unconfirmed_for > entry.unconfirmed_for:
+    if entry.unconfirmed_for and restrictions.unconfirmed_for > entry.unconfirmed_for:
         return Refusal(
             RefusalCode.UNCONFIRMED,
             f"version {version} could not be confirmed for too long",
-            UNCONFIRMED_RETRY,
+            UNCONFIRMED_RETRY_SECONDS,
         )
-    if version in doubts.rejected and not bound:
+    if version in restrictions.rejected and not bound:
         return Refusal(
             RefusalCode.NO_VERSION, f"version {version} is held back after failures"
         )
     return None
 
 
-def _version_for_model(
+def _versions_for_model(
     configuration: Configuration,
-    question: RoutingRequest,
+    request: RoutingRequest,
     model: str,
-    doubts: LocalRestrictions,
+    restrictions: LocalRestrictions,
 ) -> list[Version]:
-    """List the versions of one model that may serve, the preferred one first."""
+    """Return the versions of a model that may serve a new session, in order."""
     versions = configuration.versions_of_model.get(model, [])
     usable = [
         version
         for version in versions
         if version.state is VersionState.ACTIVE
         and check_allowed(
-            configuration, question.organisation.name, version.name, False, doubts
+            configuration, request.organisation.name, version.name, False, restrictions
         )
         is None
     ]
     rollout = configuration.rollouts_of_model.get(model)
     if rollout is None:
         return usable
-    takes_new = session_fraction(question.session, rollout) < rollout_share(rollout)
+    gets_new = session_fraction(request.session, rollout) < rollout_share(rollout)
     preferred, other = (
-        (rollout.new, rollout.old) if takes_new else (rollout.old, rollout.new)
+        (rollout.new, rollout.old) if gets_new else (rollout.old, rollout.new)
     )
-    # The old version may stand in for the new one, never the other way round:
-    # a share is a bound on the exposure to the new version.
-    may_use = {preferred, other} if takes_new else {preferred}
+    # The old version may replace the new one, never the other way round: the share
+    # limits the exposure to the new version.
+    may_use = {preferred, other} if gets_new else {preferred}
     rank = {preferred: 0, other: 1}
-    chosen = [version for version in usable if version.name in may_use]
-    return sorted(chosen, key=lambda version: rank[version.name])
+    permitted = [version for version in usable if version.name in may_use]
+    return sorted(permitted, key=lambda version: rank[version.name])
 
 
 def plan(
     configuration: Configuration,
     programs: PolicyPrograms,
-    question: RoutingRequest,
-    doubts: LocalRestrictions,
+    request: RoutingRequest,
+    restrictions: LocalRestrictions,
 ) -> Result[Plan, Refusal]:
-    """Decide which versions may serve a request, and in which order.
+    """Choose and order the versions that may serve a request.
 
-    :param configuration: what is in force.
+    :param configuration: the configuration that is in force.
     :param programs: the policy programs of that configuration.
-    :param question: the request.
-    :param doubts: what this VM holds against versions by itself.
-    :returns: the plan, or why there is none.
+    :param request: the request.
+    :param restrictions: the restrictions that this VM applies on its own.
+    :returns: the plan, or the refusal if no version may serve the request.
     """
-    organisation = question.organisation
-    cascade = configuration.cascades.get(question.asked)
+    organisation = request.organisation
+    cascade = configuration.cascades.get(request.requested_name)
     if cascade is not None:
         if cascade.name not in organisation.cascades:
             return Error(
@@ -209,26 +213,26 @@
                     f"{organisation.name} may not use cascade {cascade.name}",
                 )
             )
-        return _plan_cascade(configuration, programs, question, cascade, doubts)
-    version = configuration.versions.get(question.asked)
+        return _plan_cascade(configuration, programs, request, cascade, restrictions)
+    version = configuration.versions.get(request.requested_name)
     if version is not None:
-        return _plan_version(configuration, question, version, doubts)
+        return _plan_version(configuration, request, version, restrictions)
     return Error(
         Refusal(
             RefusalCode.UNKNOWN_MODEL,
-            f"no cascade or version is called {question.asked!r}",
+            f"no cascade or version is called {request.requested_name!r}",
         )
     )
 
 
 def _plan_version(
     configuration: Configuration,
-    question: RoutingRequest,
+    request: RoutingRequest,
     version: Version,
-    doubts: LocalRestrictions,
+    restrictions: LocalRestrictions,
 ) -> Result[Plan, Refusal]:
-    """Plan a request that names its version."""
-    pin = question.pin
+    """Plan a request that names a version."""
+    pin = request.pin
     pinned = pin.version_of(version.model) if pin is not None else None
     if pinned is not None and pinned != version.name:
         return Error(
@@ -239,7 +243,7 @@
         )
     bound = pinned is not None
     refusal = check_allowed(
-        configuration, question.organisation.name, version.name, bound, doubts
+        configuration, request.organisation.name, version.name, bound, restrictions
     )
     return Error(refusal) if refusal is not None else Ok(Plan((version,)))
 
@@ -247,21 +251,23 @@
 def _plan_cascade(
     configuration: Configuration,
     programs: PolicyPrograms,
-    question: RoutingRequest,
+    request: RoutingRequest,
     cascade: Cascade,
-    doubts: LocalRestrictions,
+    restrictions: LocalRestrictions,
 ) -> Result[Plan, Refusal]:
     """Plan a request that names a cascade."""
     restarted = False
     steps: list[Version] = []
     for model in cascade.steps:
-        choice = _step(configuration, question, model, doubts)
+        choice = _versions_for_step(configuration, request, model, restrictions)
         if choice.is_error():
             refusal = choice.error
-            if not _may_restart(question.organisation, refusal):
+            if not _may_restart(request.organisation, refusal):
                 return Error(refusal)
             restarted = True
-            candidates = _version_for_model(configuration, question, model, doubts)
+            candidates = _versions_for_model(
+                configuration, request, model, restrictions
+            )
             steps.extend(candidates[:1])
         else:
             steps.extend(choice.ok)
@@ -270,17 +276,17 @@
             Refusal(
                 RefusalCode.NO_VERSION,
                 f"no version of cascade {cascade.name} takes work now",
-                UNCONFIRMED_RETRY,
+                UNCONFIRMED_RETRY_SECONDS,
             )
         )
-    request = PolicyRequest(
-        question.organisation.name,
-        question.request_class,
-        question.asked,
-        question.size,
-        question.stream,
+    policy_request = PolicyRequest(
+        request.organisation.name,
+        request.request_class,
+        request.requested_name,
+        request.size,
+        request.stream,
     )
-    order = programs.order(question.organisation.policy, request, tuple(steps))
+    order = programs.order(request.organisation.policy, policy_request, tuple(steps))
     by_name = {version.name: version for version in steps}
     ordered = tuple(by_name[name] for name in order)
     if not ordered:
@@ -290,24 +296,24 @@
     return Ok(Plan(ordered, cascade.quality, cascade.name, cascade.sample, restarted))
 
 
-def _step(
+def _versions_for_step(
     configuration: Configuration,
-    question: RoutingRequest,
+    request: RoutingRequest,
     model: str,
-    doubts: LocalRestrictions,
+    restrictions: LocalRestrictions,
 ) -> Result[list[Version], Refusal]:
-    """Choose the version of one cascade step; none where the model has none."""
-    pin = question.pin
+    """Return the version for a cascade step; none if the model has no usable one."""
+    pin = request.pin
     pinned = pin.version_of(model) if pin is not None else None
     if pinned is None:
-        candidates = _version_for_model(configuration, question, model, doubts)
+        candidates = _versions_for_model(configuration, request, model, restrictions)
         return Ok(candidates[:1])
     version = configuration.versions.get(VersionName(pinned))
     if version is None:
         gone = f"version {pinned} has been withdrawn"
         return Error(Refusal(RefusalCode.VERSION_WITHDRAWN, gone))
     refusal = check_allowed(
-        configuration, question.organisation.name, pinned, True, doubts
+        configuration, request.organisation.name, pinned, True, restrictions
     )
     return Error(refusal) if refusal is not None else Ok([version])
 
--- a/walnutquay/state/own/sequential.py
+++ b/walnutquay/state/own/sequential.py
@@ -1,13 +1,15 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""A sequential test of a version's bad outcomes against another's.
-
-It is Wald's sequential probability ratio test (A. Wald, "Sequential Tests of
-Statistical Hypotheses", 1945), taken on as long as the version runs: its score
-does not sink without end, so that a version which turns bad later is found as
-well.  What it is compared with is not known beforehand but counted beside it, so a
-version is called bad only if the two also differ by a likelihood ratio of their
-counts: both may fail for a reason that lies elsewhere.
+"""A sequential test of the share of a version's bad outcomes against a baseline.
+
+The test is Wald's sequential probability ratio test (A. Wald, "Sequential Tests of
+Statistical Hypotheses", 1945), continued for as long as the version runs.  Its score
+has a lower limit, so that a version that turns bad later is detected as well.
+
+The baseline share is not known in advance but estimated from the outcomes of another
+version that runs at the same time.  A version is therefore called bad only if a
+likelihood-ratio test (G-test) of the two versions' counts also finds it worse: both
+versions may fail for a common cause.
 """
 
 from __future__ import annotations
@@ -18,27 +20,30 @@
 
 from walnutquay.state.process.counts import RecentCounts
 
-# The baseline is taken for known so well before anything has been seen of it.
-BASELINE_WEIGHT = 50.0
-# Outcomes of the other version from which on the two are compared.
-MIN_COMPARED = 10
-# Before that, a version is called bad if at least this share of its outcomes is, or
-# if there have been many of them, for then the other has had its chance to run.
+# The number of outcomes of the baseline version that the prior share counts as.
+PRIOR_WEIGHT = 50.0
+# The number of outcomes of the baseline version from which the two are compared.
+MIN_BASELINE_SEEN = 10
+# With fewer, a version is called bad if at least CLEAR_SHARE of its outcomes are bad or
+# if it has MIN_SEEN_WITHOUT_BASELINE outcomes, as the baseline version has then had
+# the chance to run too.
 CLEAR_SHARE = 0.8
-MIN_ALONE = 30
-# Outcomes that the two are compared by; the counts of older ones shrink.
+MIN_SEEN_WITHOUT_BASELINE = 30
+# The maximum total of the counts that are compared; older outcomes are scaled down.
 MAX_RECENT = 100.0
-# Twice the logarithm of the likelihood ratio at which two shares differ: a chance
-# result goes beyond it once in about 10,000 looks (chi-squared, one sided).
-DIFFERENCE = 14.0
-# The score sinks to this many times the bound at which a version is taken for good.
-FLOOR = 2.0
-# Shares that the test reckons with are no nearer to 1 than this.
+# Twice the logarithm of the likelihood ratio from which two shares are taken to differ.
+# By chance it is exceeded in about one of 10,000 evaluations (chi-squared, one-sided).
+MIN_G_STATISTIC = 14.0
+# The lower limit of the score, as a multiple of the bound at which a version is called
+# good.
+MIN_SCORE_FACTOR = 2.0
+# The upper limit of the shares that the test uses, as it needs the logarithm of one
+# minus the share.
 MAX_SHARE = 0.98
 
 
 class Verdict(Enum):
-    """What a sequential test says."""
+    """The result of a sequential test."""
 
     UNDECIDED = "undecided"
     GOOD = "good"
@@ -47,10 +52,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ErrorRates:
-    """How often a test may err.
+    """The accepted error rates of a test.
 
-    :param false_alarm: share of good versions that are called bad.
-    :param miss: share of bad versions that are called good.
+    :param false_alarm: the share of good versions that are called bad.
+    :param miss: the share of bad versions that are called good.
     """
 
     false_alarm: float = 0.001
@@ -58,99 +63,98 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Contrast:
-    """Which versions are good and which are bad, by the share of bad outcomes.
+class Hypotheses:
+    """The shares of bad outcomes by which a version is good or bad.
 
-    :param usual: the share that is expected before anything is known.
-    :param excess: a version is bad whose share is greater by this much than that
-        of the version it is compared with.
+    :param prior_share: the baseline share that is assumed before any outcomes.
+    :param excess: the difference from the baseline share at which a version is bad.
     """
 
-    usual: float
+    prior_share: float
     excess: float
 
 
 class SequentialTest:
-    """Tells a bad version from a good one with as few outcomes as need be.
+    """Distinguishes a bad version from a good one with as few outcomes as possible.
 
-    :param contrast: what good and bad mean.
-    :param rates: how often it may err.
+    :param hypotheses: the shares by which a version is good or bad.
+    :param rates: the accepted error rates.
     """
 
-    def __init__(self, contrast: Contrast, rates: ErrorRates) -> None:
-        self.contrast = contrast
-        self.upper = math.log((1 - rates.miss) / rates.false_alarm)
-        self.lower = math.log(rates.miss / (1 - rates.false_alarm))
-        # The logarithm of how much likelier all outcomes are of a bad version.
+    def __init__(self, hypotheses: Hypotheses, rates: ErrorRates) -> None:
+        self.hypotheses = hypotheses
+        self.reject_bound = math.log((1 - rates.miss) / rates.false_alarm)
+        self.accept_bound = math.log(rates.miss / (1 - rates.false_alarm))
+        # The log-likelihood ratio of the outcomes: bad version against good version.
         self.score = 0.0
         self.verdict = Verdict.UNDECIDED
-        # All outcomes of the tested version and of the other, to be shown.
+        # The outcomes of the tested version and of the baseline, for display only.
         self.good = 0
         self.bad = 0
-        self.other_good = 0
-        self.other_bad = 0
-        # Those that the two are compared by.
+        self.baseline_good = 0
+        self.baseline_bad = 0
+        # The recent outcomes, by which the two versions are compared.
         self.tested = RecentCounts(MAX_RECENT)
-        self.other = RecentCounts(MAX_RECENT)
+        self.baseline = RecentCounts(MAX_RECENT)
 
     @property
     def seen(self) -> int:
-        """How many outcomes of the tested version there were."""
+        """The number of outcomes of the tested version."""
         return self.good + self.bad
 
-    def take_other(self, good: int, bad: int) -> None:
-        """Take in outcomes of the version to compare with.
+    def record_baseline(self, good: int, bad: int) -> None:
+        """Add outcomes of the baseline version.
 
-        :param good: good ones.
-        :param bad: bad ones.
+        :param good: the number of good outcomes.
+        :param bad: the number of bad outcomes.
         """
-        self.other_good += good
-        self.other_bad += bad
-        self.other.take(good, bad)
+        self.baseline_good += good
+        self.baseline_bad += bad
+        self.baseline.take(good, bad)
 
-    def baseline(self) -> float:
-        """:returns: the share of bad outcomes that a good version has."""
-        expected = self.contrast.usual * BASELINE_WEIGHT
-        return (self.other.bad + expected) / (self.other.seen + BASELINE_WEIGHT)
+    def baseline_share(self) -> float:
+        """Return the share of bad outcomes that is expected of a good version."""
+        expected = self.hypotheses.prior_share * PRIOR_WEIGHT
+        return (self.baseline.bad + expected) / (self.baseline.seen + PRIOR_WEIGHT)
 
-    def take(self, good: int, bad: int) -> Verdict:
-        """Take in outcomes of the version that is tested.
+    def record(self, good: int, bad: int) -> Verdict:
+        """Add outcomes of the tested version.
 
-        :param good: good ones.
-        :param bad: bad ones.
-        :returns: what is known now; ``BAD`` once said stays.
+        :param good: the number of good outcomes.
+        :param bad: the number of bad outcomes.
+        :returns: the verdict, which stays ``BAD`` once it is.
         """
         self.good += good
         self.bad += bad
         self.tested.take(good, bad)
-        share = min(self.baseline(), MAX_SHARE - self.contrast.excess)
-        worse = share + self.contrast.excess
-        self.score += bad * math.log(worse / share)
-        self.score += good * math.log((1 - worse) / (1 - share))
-        self.score = max(self.score, FLOOR * self.lower)
-        if self.score >= self.upper:
-            self.score = self.upper
-            if self._differs():
+        good_share = min(self.baseline_share(), MAX_SHARE - self.hypotheses.excess)
+        bad_share = good_share + self.hypotheses.excess
+        self.score += bad * math.log(bad_share / good_share)
+        self.score += good * math.log((1 - bad_share) / (1 - good_share))
+        self.score = max(self.score, MIN_SCORE_FACTOR * self.accept_bound)
+        if self.score >= self.reject_bound:
+            self.score = self.reject_bound
+            if self._is_worse():
                 self.verdict = Verdict.BAD
-        elif self.score <= self.lower and self.verdict is Verdict.UNDECIDED:
+        elif self.score <= self.accept_bound and self.verdict is Verdict.UNDECIDED:
             self.verdict = Verdict.GOOD
         return self.verdict
 
-    def _differs(self) -> bool:
-        """Tell whether the version does worse than the other, by their counts."""
-        tested, other = self.tested, self.other
-        if other.seen < MIN_COMPARED:
-            clear = tested.bad >= CLEAR_SHARE * tested.seen
-            return clear or tested.seen >= MIN_ALONE
-        if tested.bad * other.seen <= other.bad * tested.seen:
+    def _is_worse(self) -> bool:
+        """Return whether the counts show the tested version to be worse."""
+        tested, baseline = self.tested, self.baseline
+        if baseline.seen < MIN_BASELINE_SEEN:
+            is_clear = tested.bad >= CLEAR_SHARE * tested.seen
+            return is_clear or tested.seen >= MIN_SEEN_WITHOUT_BASELINE
+        if tested.bad * baseline.seen <= baseline.bad * tested.seen:
             return False
-        apart = _log_likelihood(tested.good, tested.bad)
-        apart += _log_likelihood(other.good, other.bad)
-        together = _log_likelihood(tested.good + other.good, tested.bad + other.bad)
-        return 2 * (apart - together) >= DIFFERENCE
+        separate = _log_likelihood(tested.good, tested.bad)
+        separate += _log_likelihood(baseline.good, baseline.bad)
+        pooled = _log_likelihood(tested.good + baseline.good, tested.bad + baseline.bad)
+        return 2 * (separate - pooled) >= MIN_G_STATISTIC
 
 
 def _log_likelihood(good: float, bad: float) -> float:
-    """Give the logarithm of the counts' likelihood at their own share."""
+    """Return the maximum log-likelihood of the counts."""
     seen = good + bad
     return sum(count * math.log(count / seen) for count in (good, bad) if count)
