--- a/walnutquay/state/own/routing.py
+++ b/walnutquay/state/own/routing.py
@@ -2,10 +2,10 @@
 
 """The choice and order of the versions that may serve a request.
 
-An organisation's policy program orders the versions, of which only those are used that
-:func:`check_allowed` permits.  It is called when a request is planned and again right
-before each dispatch, so that a configuration change also applies to requests that were
-waiting when it came into force.
+An organisation's policy program orders the versions, but only those that
+:func:`check_allowed` permits are used.  This is checked when a request is planned and
+again right before each dispatch, so that a configuration change also applies to
+requests that were waiting when it came into force.
 """
 
 from __future__ import annotations
@@ -61,9 +61,9 @@
     """The versions to try for a request.
 
     :param steps: the versions in the order in which they are tried.
-    :param quality: the rating below which an answer is passed over for the next step.
+    :param quality: the rating of an answer below which the next step is tried.
     :param cascade: the requested cascade; empty if a version was requested.
-    :param sample: the share of other answers that are rated to learn from them.
+    :param sample: the share of the other answers that are rated, to learn from them.
     :param session_restarted: whether the session's binding is dropped because its
         version is withdrawn and the organisation prefers a new session.
     """
