--- a/lab/decisions/rollouts.py
+++ b/lab/decisions/rollouts.py
@@ -139,12 +139,12 @@
 
     def braked(self, vm: int) -> bool:
         """Whether any VM has braked: brakes are told at once."""
-        return any(table.braked for table in self.tables)
+        return any(table.rejected for table in self.tables)
 
     def note(self, vm: int, version: str, measure: Measure, bad: bool) -> None:
         """Count here; the others hear of it."""
         self.boards[vm].add(f"{measure.value}|{version}", not bad, bad)
-        self.tables[vm].take(STAGE.key, version, measure, not bad, bad)
+        self.tables[vm].record(STAGE.key, version, measure, not bad, bad)
 
     def tell(self) -> None:
         """Send what has changed to all others."""
@@ -155,10 +155,10 @@
                         self._hear(hearer, row)
 
     def _hear(self, vm: int, row) -> None:
-        good, bad = self.boards[vm].hear(row)
+        good, bad = self.boards[vm].receive(row)
         measure, version = row.subject.split("|")
         if good or bad:
-            self.tables[vm].take(STAGE.key, version, Measure(measure), good, bad)
+            self.tables[vm].record(STAGE.key, version, Measure(measure), good, bad)
 
 
 def simulate(case: Case, rule: Rule, rng: random.Random) -> int | None:
--- a/walnutquay/coordination/own/health.py
+++ b/walnutquay/coordination/own/health.py
@@ -125,7 +125,7 @@
         if not subject.startswith(TRIAL + SEPARATOR):
             return
         _, stage, measure, version = subject.split(SEPARATOR)
-        if not self.table.take(stage, version, Measure(measure), good, bad):
+        if not self.table.record(stage, version, Measure(measure), good, bad):
             return
         self._tell(version, f"the test of {measure} outcomes says so")
         self.members.tell_all(VersionBrake(version))
