--- a/walnutquay/coordination/own/leases.py
+++ b/walnutquay/coordination/own/leases.py
@@ -84,7 +84,7 @@
     async def _look(self) -> None:
         stored = await self.platform.read(self.name)
         value = LeaseValue.decode(stored.value) if stored.version else None
-        self.view.saw(stored.version, value, monotonic())
+        self.view.observe(stored.version, value, monotonic())
 
     def _is_near(self) -> bool:
         ranked = self.members.table.ranked(self.name, monotonic())
@@ -92,7 +92,7 @@
 
     def _is_next(self, now: float) -> bool:
         ranked = self.members.table.ranked(self.name, now)
-        return ranked[0] == self.context.vm and self.view.may_take(now)
+        return ranked[0] == self.context.vm and self.view.may_acquire(now)
 
     async def _take(self, asked_at: float) -> None:
         held = self.view.held(asked_at)
@@ -102,7 +102,7 @@
         version = await self.platform.write(
             self.name, self.value.encode(), self.view.version
         )
-        self.view.took(version, self.value, asked_at)
+        self.view.record_acquired(version, self.value, asked_at)
         if not held:
             self.context.timeline.emit(
                 EventKind.LEASE, detail=f"{self.duty} taken, fence {version}"
--- a/walnutquay/state/own/bills.py
+++ b/walnutquay/state/own/bills.py
@@ -137,9 +137,9 @@
 
         :param records: its records.
         """
-        self.skip_to(records[-1].number + 1)
+        self.mark_stored_below(records[-1].number + 1)
 
-    def skip_to(self, number: int) -> None:
+    def mark_stored_below(self, number: int) -> None:
         """Note that all records below a number are stored.
 
         :param number: where the next batch begins.
--- a/walnutquay/state/own/leases.py
+++ b/walnutquay/state/own/leases.py
@@ -65,7 +65,7 @@
     held_until: float = float("-inf")
     acts_from: float = float("inf")
 
-    def saw(self, version: int, value: LeaseValue | None, now: float) -> None:
+    def observe(self, version: int, value: LeaseValue | None, now: float) -> None:
         """Take in what the platform holds.
 
         :param version: the object's version.
@@ -85,7 +85,7 @@
         self.held_until = float("-inf")
         self.acts_from = float("inf")
 
-    def may_take(self, now: float) -> bool:
+    def may_acquire(self, now: float) -> bool:
         """:param now: the time.
 
         :returns: whether nobody can hold the lease any more.
@@ -96,7 +96,7 @@
             return True
         return now > self.seen_at + self.value.seconds
 
-    def took(self, version: int, value: LeaseValue, asked_at: float) -> None:
+    def record_acquired(self, version: int, value: LeaseValue, asked_at: float) -> None:
         """Note that this VM took or renewed the lease.
 
         After a change of holder the new one waits until the longest order of
