--- a/lab/mutants/own.py
+++ b/lab/mutants/own.py
@@ -47,7 +47,7 @@
     Mutation(
         "billed once: the position follows the stored numbers",
         "state/own/bills.py",
-        "self.skip_to(records[-1].number + 1)",
+        "self.mark_stored_below(records[-1].number + 1)",
         "self.next_batch += len(records)",
         "tests.state.own.test_bills.InterleavingTest",
     ),
--- a/tests/state/own/test_bills.py
+++ b/tests/state/own/test_bills.py
@@ -40,7 +40,7 @@
             log.add(record(number))
         self.assertEqual([r.number for r in log.batch(10)], [0, 1])
         self.assertEqual([r.number for r in log.batch(1)], [0])
-        log.stored(log.batch(10))
+        log.mark_stored(log.batch(10))
         self.assertEqual(log.batch(10), [])
         log.add(record(2))
         self.assertEqual([r.number for r in log.batch(10)], [2, 3])
@@ -48,10 +48,10 @@
     def test_what_is_stored_is_not_taken_in_again(self):
         log = BillLog(OWNER)
         log.add(record(0))
-        log.skip_to(2)
+        log.mark_stored_below(2)
         log.add(record(1))
         self.assertEqual(log.records, {})
-        log.skip_to(1)
+        log.mark_stored_below(1)
         self.assertEqual(log.next_batch, 2)
 
     def test_records_are_the_same_after_the_wire(self):
--- a/tests/state/own/test_claims.py
+++ b/tests/state/own/test_claims.py
@@ -17,8 +17,8 @@
     RunState,
     RunTable,
     WholeAnswer,
+    action_for_repeat,
     claim_name,
-    on_repeat,
 )
 from walnutquay.state.requests.fingerprints import fingerprint
 
@@ -47,7 +47,7 @@
     def test_table(self):
         for other, holder, action in REPEATS:
             with self.subTest(other=other, holder=holder):
-                self.assertEqual(on_repeat(CLAIM, other, holder), action)
+                self.assertEqual(action_for_repeat(CLAIM, other, holder), action)
 
     def test_names_and_fingerprints_tell_apart(self):
         self.assertNotEqual(claim_name("a", "k"), claim_name("b", "k"))
--- a/tests/state/own/test_learning.py
+++ b/tests/state/own/test_learning.py
@@ -11,7 +11,7 @@
 
 from tests.fleetcase import FleetCase
 from walnutquay.protocol import chat
-from walnutquay.state.own.learning import MAX_WEIGHT, MIN_RATED, StepLearner, WorthKey
+from walnutquay.state.own.learning import MAX_WEIGHT, MIN_RATED, QualityKey, StepLearner
 from walnutquay.state.store.parts import Version
 
 CHEAP = Version(name="cheap", model="cheap", price_output=1.0)
@@ -42,7 +42,9 @@
     learner = StepLearner(random.Random(1))
     for version, share in zip(STEPS, shares, strict=True):
         reached = round(share * ratings)
-        learner.take(WorthKey("c", "tag", version.name), reached, ratings - reached)
+        learner.record_ratings(
+            QualityKey("c", "tag", version.name), reached, ratings - reached
+        )
     return learner
 
 
@@ -77,17 +79,17 @@
         reads = Version(name="reads", model="reads", price_input=1.0)
         writes = Version(name="writes", model="writes", price_output=1.0)
         learner = StepLearner(random.Random(1))
-        learner.take_tokens("long", 1000, 10)
-        learner.take_tokens("short", 10, 1000)
+        learner.record_tokens("long", 1000, 10)
+        learner.record_tokens("short", 10, 1000)
         self.assertEqual(learner.cost("long", reads), 1.0)
         self.assertEqual(learner.cost("long", writes), 0.01)
         self.assertEqual(learner.cost("short", writes), 1.0)
 
     def test_news_get_through(self):
         learner = learnt((0.0, 0.9, 0.9), 100_000)
-        key = WorthKey("c", "tag", "cheap")
-        self.assertLessEqual(learner.worths.get(key).seen, MAX_WEIGHT)
-        learner.take(key, round(MAX_WEIGHT), 0)
+        key = QualityKey("c", "tag", "cheap")
+        self.assertLessEqual(learner.quality_counts.get(key).seen, MAX_WEIGHT)
+        learner.record_ratings(key, round(MAX_WEIGHT), 0)
         self.assertEqual(learner.first_step("c", "tag", STEPS), 0)
 
 
@@ -142,10 +144,10 @@
         self.assertEqual(first.headers["x-walnutquay-version"], "small-1")
         await self.learn()
         self.assertEqual(await self.served_by("vm-b1", stream=True), "large-1")
-        _, worths = await self.fleet.administer(
+        _, quality_counts = await self.fleet.administer(
             self.vm("vm-b1"), "GET", "/v1/debug/worths"
         )
-        small = next(row for row in worths if row["version"] == "small-1")
+        small = next(row for row in quality_counts if row["version"] == "small-1")
         self.assertEqual(small["reached"], 0)
         self.assertGreaterEqual(small["missed"], MIN_RATED)
         # A session that has begun goes on with its version.
--- a/tests/state/own/test_leases.py
+++ b/tests/state/own/test_leases.py
@@ -57,27 +57,27 @@
         """:returns: a view that saw a value at time 0."""
         view = LeaseView(Incarnation("inc-a"), ORDER)
         if value is not None:
-            view.saw(3, value, 0.0)
+            view.observe(3, value, 0.0)
         return view
 
     def test_may_take(self):
         for value, now, expected in MAY_TAKE:
             with self.subTest(value=value, now=now):
-                self.assertEqual(self.view(value).may_take(now), expected)
+                self.assertEqual(self.view(value).may_acquire(now), expected)
 
     def test_may_order(self):
         for value, now, expected in MAY_ORDER:
             with self.subTest(value=value, now=now):
                 view = self.view(value)
-                view.took(4, OWN, 0.0)
+                view.record_acquired(4, OWN, 0.0)
                 self.assertEqual(view.fence(now) is not None, expected)
 
     def test_one_that_sees_another_holder_has_lost_it(self):
         view = self.view(None)
-        view.took(1, OWN, 0.0)
-        view.saw(2, OTHER, 1.0)
+        view.record_acquired(1, OWN, 0.0)
+        view.observe(2, OTHER, 1.0)
         self.assertIsNone(view.fence(1.0))
-        self.assertFalse(view.held(1.0))
+        self.assertFalse(view.is_held(1.0))
 
 
 class InterleavingTest(unittest.IsolatedAsyncioTestCase):
--- a/walnutquay/coordination/own/billbatches.py
+++ b/walnutquay/coordination/own/billbatches.py
@@ -56,7 +56,7 @@
                 return False
             if not batch:
                 return True
-            bill_log.stored(batch)
+            bill_log.mark_stored(batch)
         return True
 
     async def _store_batch(
--- a/walnutquay/coordination/own/billing.py
+++ b/walnutquay/coordination/own/billing.py
@@ -336,7 +336,7 @@
             kept = self.kept[incarnation] = BillLog(incarnation)
         if envelope.incarnation == incarnation or incarnation not in self.vm_of:
             self.vm_of[incarnation] = envelope.vm
-        kept.skip_to(envelope.body.next_batch)
+        kept.mark_stored_below(envelope.body.next_batch)
         for record in decode_records(envelope.body.records):
             kept.add(record)
         return BillsMissing(kept.end) if kept.has_gap() else BillTaken()
@@ -349,7 +349,7 @@
         assert isinstance(envelope.body, BillStored)
         kept = self.kept.get(Incarnation(envelope.body.incarnation))
         if kept is not None:
-            kept.skip_to(envelope.body.next_batch)
+            kept.mark_stored_below(envelope.body.next_batch)
 
     def _seconds_silent(self, incarnation: Incarnation) -> float:
         """:param incarnation: one that records are kept for.
--- a/walnutquay/coordination/own/chats.py
+++ b/walnutquay/coordination/own/chats.py
@@ -233,7 +233,7 @@
     def _headers(self, turn: ChatTurn, grant: Grant) -> dict[str, str]:
         """Say who serves the request, and give the session's new token."""
         current = self.parts.configurations.current
-        pin = turn.pin.after(
+        pin = turn.pin.after_turn(
             turn.version.model, turn.version.name, grant.name, current.revision
         )
         if turn.bare:
--- a/walnutquay/coordination/own/claims.py
+++ b/walnutquay/coordination/own/claims.py
@@ -30,8 +30,8 @@
     RunState,
     RunTable,
     WholeAnswer,
+    action_for_repeat,
     claim_name,
-    on_repeat,
 )
 from walnutquay.state.process.events import EventKind
 from walnutquay.state.process.ids import OrganisationName, RequestId
@@ -333,7 +333,7 @@
     answer: WholeAnswer | None,
 ) -> ClaimResult:
     """Say what a repeat is told, with the answer where it is that."""
-    action = on_repeat(claim, fingerprint, state)
+    action = action_for_repeat(claim, fingerprint, state)
     if action is RepeatAction.GIVE_ANSWER and answer is None:
         action = RepeatAction.SAY_UNKNOWN
     return ClaimResult(False, action, answer)
--- a/walnutquay/coordination/own/leases.py
+++ b/walnutquay/coordination/own/leases.py
@@ -66,14 +66,14 @@
     async def keep(self) -> None:
         """Renew the lease, or take it if it is this VM's turn and free."""
         asked_at = monotonic()
-        if not self.view.held(asked_at) and not self._is_near():
+        if not self.view.is_held(asked_at) and not self._is_near():
             # Were all VMs to look, the looking alone would fill the platform.
             return
         try:
-            if not self.view.held(asked_at):
+            if not self.view.is_held(asked_at):
                 await self._look()
                 asked_at = monotonic()
-            if self.view.held(asked_at) or self._is_next(asked_at):
+            if self.view.is_held(asked_at) or self._is_next(asked_at):
                 await self._take(asked_at)
         except PlatformError as error:
             # It may have been renewed all the same; the time that is known
@@ -84,7 +84,7 @@
     async def _look(self) -> None:
         stored = await self.platform.read(self.name)
         value = LeaseValue.decode(stored.value) if stored.version else None
-        self.view.saw(stored.version, value, monotonic())
+        self.view.observe(stored.version, value, monotonic())
 
     def _is_near(self) -> bool:
         ranked = self.members.table.ranked(self.name, monotonic())
@@ -92,17 +92,17 @@
 
     def _is_next(self, now: float) -> bool:
         ranked = self.members.table.ranked(self.name, now)
-        return ranked[0] == self.context.vm and self.view.may_take(now)
+        return ranked[0] == self.context.vm and self.view.may_acquire(now)
 
     async def _take(self, asked_at: float) -> None:
-        held = self.view.held(asked_at)
+        held = self.view.is_held(asked_at)
         if self.view.version < 0:
             await self._look()
         self.value = replace(self.value, writes=self.value.writes + 1)
         version = await self.platform.write(
             self.name, self.value.encode(), self.view.version
         )
-        self.view.took(version, self.value, asked_at)
+        self.view.record_acquired(version, self.value, asked_at)
         if not held:
             self.context.timeline.emit(
                 EventKind.LEASE, detail=f"{self.duty} taken, fence {version}"
@@ -110,10 +110,10 @@
 
     async def give_back(self) -> None:
         """Let another VM take the lease at once, as at a planned stop."""
-        if not self.view.held(monotonic()):
+        if not self.view.is_held(monotonic()):
             return
         version = self.view.version
-        self.view.lost()
+        self.view.mark_lost()
         nobody = LeaseValue(NOBODY, Incarnation(""), self.value.seconds)
         try:
             await self.platform.write(self.name, nobody.encode(), version)
--- a/walnutquay/coordination/own/planning.py
+++ b/walnutquay/coordination/own/planning.py
@@ -64,7 +64,7 @@
             # The session's first turn: agree on its binding before it runs.
             first = planned.ok.steps[0]
             revision = self.parts.configurations.current.revision
-            wanted = pin.after(first.model, first.name, "", revision)
+            wanted = pin.after_turn(first.model, first.name, "", revision)
             standing = await self.pins.propose(wanted)
             if standing != wanted:
                 pin = standing
--- a/walnutquay/coordination/own/quality.py
+++ b/walnutquay/coordination/own/quality.py
@@ -11,7 +11,7 @@
 from walnutquay.coordination.process.context import Context
 from walnutquay.coordination.process.tasks import Tasks
 from walnutquay.protocol import chat
-from walnutquay.state.own.learning import StepLearner, WorthKey
+from walnutquay.state.own.learning import QualityKey, StepLearner
 from walnutquay.state.process.events import EventKind
 from walnutquay.state.store.parts import Cascade, Version
 
@@ -81,7 +81,7 @@
 
         :param usage: the tokens it took.
         """
-        self.learner.take_tokens(
+        self.learner.record_tokens(
             turn.arrival.request_class, usage.input_tokens, usage.output_tokens
         )
 
@@ -155,4 +155,6 @@
         # A class is named by callers and may have the separator in it.
         _, cascade, rest = subject.split(SEPARATOR, 2)
         request_class, version = rest.rsplit(SEPARATOR, 1)
-        self.learner.take(WorthKey(cascade, request_class, version), good, bad)
+        self.learner.record_ratings(
+            QualityKey(cascade, request_class, version), good, bad
+        )
--- a/walnutquay/daemon/beliefs.py
+++ b/walnutquay/daemon/beliefs.py
@@ -132,7 +132,7 @@
             "reached": round(worth.good, 1),
             "missed": round(worth.bad, 1),
         }
-        for key, worth in parts.quality.learner.worths.entries.items()
+        for key, worth in parts.quality.learner.quality_counts.entries.items()
     ]
 
 
--- a/walnutquay/state/own/bills.py
+++ b/walnutquay/state/own/bills.py
@@ -130,16 +130,16 @@
         end = min(self.end, self.next_batch + limit)
         return [self.records[n] for n in range(self.next_batch, end)]
 
-    def stored(self, records: list[BillRecord]) -> None:
+    def mark_stored(self, records: list[BillRecord]) -> None:
         """Note a batch that stands in the platform, whoever wrote it.
 
         The log may have moved on while the batch was being written or read.
 
         :param records: its records.
         """
-        self.skip_to(records[-1].number + 1)
+        self.mark_stored_below(records[-1].number + 1)
 
-    def skip_to(self, number: int) -> None:
+    def mark_stored_below(self, number: int) -> None:
         """Note that all records below a number are stored.
 
         :param number: where the next batch begins.
--- a/walnutquay/state/own/claims.py
+++ b/walnutquay/state/own/claims.py
@@ -87,7 +87,7 @@
     KEY_REUSED = "key-reused"
 
 
-def on_repeat(
+def action_for_repeat(
     claim: Claim, repeat_fingerprint: str, holder: RunState | None
 ) -> RepeatAction:
     """Decide what a caller is told who repeats a key.
--- a/walnutquay/state/own/learning.py
+++ b/walnutquay/state/own/learning.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WorthKey:
+class QualityKey:
     """What a worth is learnt of.
 
     :param cascade: the cascade, for it says which quality is asked for.
@@ -63,21 +63,21 @@
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         # How often each version's answers had the quality that was asked for.
-        self.worths: LatestTable[WorthKey, RecentCounts] = LatestTable(
+        self.quality_counts: LatestTable[QualityKey, RecentCounts] = LatestTable(
             MAX_LEARNT, lambda: RecentCounts(MAX_WEIGHT)
         )
         self.tokens: LatestTable[str, _Tokens] = LatestTable(MAX_LEARNT, _Tokens)
 
-    def take(self, key: WorthKey, reached: int, missed: int) -> None:
+    def record_ratings(self, key: QualityKey, reached: int, missed: int) -> None:
         """Take in ratings, of this VM or of others.
 
         :param key: whose.
         :param reached: how many reached the quality that is asked for.
         :param missed: how many did not.
         """
-        self.worths.touch(key).take(reached, missed)
+        self.quality_counts.touch(key).take(reached, missed)
 
-    def take_tokens(self, request_class: str, inputs: int, outputs: int) -> None:
+    def record_tokens(self, request_class: str, inputs: int, outputs: int) -> None:
         """Take in how large a request of a class was.
 
         :param request_class: the class.
@@ -142,8 +142,10 @@
     def _worths(
         self, cascade: str, request_class: str, steps: Sequence[Version]
     ) -> list[RecentCounts]:
-        keys = [WorthKey(cascade, request_class, v.name) for v in steps]
-        return [self.worths.get(key) or RecentCounts(MAX_WEIGHT) for key in keys]
+        keys = [QualityKey(cascade, request_class, v.name) for v in steps]
+        return [
+            self.quality_counts.get(key) or RecentCounts(MAX_WEIGHT) for key in keys
+        ]
 
     def _draw(self, worth: RecentCounts) -> float:
         """Draw a chance to reach the quality, as likely as the ratings make it."""
--- a/walnutquay/state/own/leases.py
+++ b/walnutquay/state/own/leases.py
@@ -65,7 +65,7 @@
     held_until: float = float("-inf")
     acts_from: float = float("inf")
 
-    def saw(self, version: int, value: LeaseValue | None, now: float) -> None:
+    def observe(self, version: int, value: LeaseValue | None, now: float) -> None:
         """Take in what the platform holds.
 
         :param version: the object's version.
@@ -78,14 +78,14 @@
         self.value = value
         self.seen_at = now
         if value is None or value.incarnation != self.incarnation:
-            self.lost()
+            self.mark_lost()
 
-    def lost(self) -> None:
+    def mark_lost(self) -> None:
         """Note that this VM does not hold the lease, or cannot be sure of it."""
         self.held_until = float("-inf")
         self.acts_from = float("inf")
 
-    def may_take(self, now: float) -> bool:
+    def may_acquire(self, now: float) -> bool:
         """:param now: the time.
 
         :returns: whether nobody can hold the lease any more.
@@ -96,7 +96,7 @@
             return True
         return now > self.seen_at + self.value.seconds
 
-    def took(self, version: int, value: LeaseValue, asked_at: float) -> None:
+    def record_acquired(self, version: int, value: LeaseValue, asked_at: float) -> None:
         """Note that this VM took or renewed the lease.
 
         After a change of holder the new one waits until the longest order of
@@ -107,7 +107,7 @@
         :param value: its new value.
         :param asked_at: when this VM asked for it.
         """
-        renewed = self.held(asked_at)
+        renewed = self.is_held(asked_at)
         fresh = self.value is None
         self.version = version
         self.value = value
@@ -116,7 +116,7 @@
         if not renewed:
             self.acts_from = asked_at + (0.0 if fresh else self.order_seconds)
 
-    def held(self, now: float) -> bool:
+    def is_held(self, now: float) -> bool:
         """:param now: the time.
 
         :returns: whether this VM holds the lease.
--- a/walnutquay/state/own/sessions.py
+++ b/walnutquay/state/own/sessions.py
@@ -48,7 +48,9 @@
         """
         return dict(self.versions).get(model)
 
-    def after(self, model: str, version: str, endpoint: str, revision: Revision) -> Pin:
+    def after_turn(
+        self, model: str, version: str, endpoint: str, revision: Revision
+    ) -> Pin:
         """Make the pin that holds after a turn.
 
         :param model: the model that served it.
