--- a/tests/state/own/test_bills.py
+++ b/tests/state/own/test_bills.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Bills: no record is lost or stored twice, in any order of steps."""
+"""Bills: no record is lost or stored twice, whatever the order of steps."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 
 def record(number: int) -> BillRecord:
-    """:returns: a record."""
+    """Return the record with the given number."""
     return BillRecord(number, f"r{number}", "org", 1.0, LINES)
 
 
 class BillLogTest(unittest.TestCase):
-    """What is not stored yet, and what the next batch holds."""
+    """A log keeps the records that are not stored, and chooses the next batch."""
 
     def test_batches_have_no_gap(self):
         log = BillLog(OWNER)
@@ -45,7 +45,7 @@
         log.add(record(2))
         self.assertEqual([r.number for r in log.batch(10)], [2, 3])
 
-    def test_what_is_stored_is_not_taken_in_again(self):
+    def test_stored_records_are_not_added_again(self):
         log = BillLog(OWNER)
         log.add(record(0))
         log.mark_stored_below(2)
@@ -54,25 +54,25 @@
         log.mark_stored_below(1)
         self.assertEqual(log.next_batch, 2)
 
-    def test_records_are_the_same_after_the_wire(self):
+    def test_records_survive_encoding(self):
         records = [record(0), record(1)]
         self.assertEqual(decode_records(encode_records(records)), records)
         self.assertLess(batch_name(OWNER, 9), batch_name(OWNER, 10))
 
 
 class InterleavingTest(unittest.IsolatedAsyncioTestCase):
-    """Owner and keeper flush the same records, with faults, deaths and pauses."""
+    """Owner and keeper flush the same records despite faults, crashes and delays."""
 
     def assert_stored_once(self, world: World, numbers: range) -> None:
-        """Count the records in the platform, and nowhere else."""
+        """Check that the platform has each record once, in batches of the owner."""
         found: Counter[int] = Counter()
         for name, (_, value) in world.store.objects.items():
             self.assertTrue(name.startswith(f"bills/{OWNER}/"))
             found.update(r.number for r in decode_records(value))
         self.assertEqual(found, Counter(numbers), "stored")
 
-    async def search(self, owner_dies: bool, faults: int, depth: int) -> int:
-        """Run all orders of: owner flushes twice, keeper flushes for it twice."""
+    async def search(self, owner_crashes: bool, faults: int, depth: int) -> int:
+        """Run all orders of two flushes by the owner and two for it by the keeper."""
 
         async def run(scheduler: Scheduler) -> None:
             world = World(scheduler)
@@ -91,38 +91,40 @@
 
             bill(0, 1, 2)
 
-            async def owner_runs() -> None:
+            async def run_owner() -> None:
                 await owner.flush()
-                # It goes on billing, though the keeper takes it for dead.
+                # It continues to bill, although the keeper treats it as dead.
                 bill(3)
                 await owner.flush()
 
-            async def keeper_runs() -> None:
+            async def run_keeper() -> None:
                 await keeper.flush_for_dead()
                 if OWNER in keeper.kept:
                     await keeper.flush_for_dead()
 
-            world.start(owner_runs())
-            world.start(keeper_runs())
-            if owner_dies:
+            world.start(run_owner())
+            world.start(run_keeper())
+            if owner_crashes:
                 world.start(world.crasher("a"))
             await scheduler.run()
-            # Faults end; whoever lives stores the rest.
+            # Without further faults, a VM that has not crashed stores the rest.
             scheduler.faults = 0
-            last = keeper if "a" in scheduler.dead else owner
-            world.start(last.flush() if last is owner else last.flush_for_dead())
+            survivor = keeper if "a" in scheduler.dead else owner
+            world.start(
+                survivor.flush() if survivor is owner else survivor.flush_for_dead()
+            )
             await scheduler.run()
             await world.end()
-            billed = 3 in owner.log.records or owner.log.next_batch > 3
-            numbers = range(4 if billed else 3)
+            last_is_billed = 3 in owner.log.records or owner.log.next_batch > 3
+            numbers = range(4 if last_is_billed else 3)
             self.assert_stored_once(world, numbers)
 
         return await explore(run, faults, depth)
 
-    async def test_owner_and_keeper_at_once(self):
-        orders = await self.search(False, faults=2, depth=3)
-        self.assertGreater(orders, 1000)
+    async def test_owner_and_keeper_flush_concurrently(self):
+        order_count = await self.search(False, faults=2, depth=3)
+        self.assertGreater(order_count, 1000)
 
-    async def test_an_owner_that_dies_anywhere(self):
-        orders = await self.search(True, faults=2, depth=3)
-        self.assertGreater(orders, 1000)
+    async def test_owner_crashes_at_any_step(self):
+        order_count = await self.search(True, faults=2, depth=3)
+        self.assertGreater(order_count, 1000)
--- a/tests/state/own/test_claims.py
+++ b/tests/state/own/test_claims.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Claims of idempotency keys: decisions, and all orders up to a depth."""
+"""Claims on idempotency keys: decisions, and all orders of steps up to a depth."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 )
 from walnutquay.state.requests.fingerprints import fingerprint
 
-HOUR = 1.0
+KEEP_HOURS = 1.0
 MEGABYTE = 1 << 20
 ANSWER = WholeAnswer(200, "text/plain", b"one price")
 CLAIM = Claim("r1", "vm-a", "i", "same", 0.0)
 
-# the repeat's hash, what the holder says -> what the repeat is told
+# The repeat's hash, the state reported by the holder -> the response to the repeat.
 REPEATS = [
     ("same", None, RepeatAction.SAY_UNKNOWN),
     ("same", RunState.UNKNOWN, RepeatAction.SAY_UNKNOWN),
@@ -42,18 +42,18 @@
 
 
 class DecisionTest(unittest.TestCase):
-    """What a repeat is told."""
+    """The response to a repeat, and the answers kept for it."""
 
-    def test_table(self):
+    def test_responses_to_repeats(self):
         for other, holder, action in REPEATS:
             with self.subTest(other=other, holder=holder):
                 self.assertEqual(action_for_repeat(CLAIM, other, holder), action)
 
-    def test_names_and_fingerprints_tell_apart(self):
+    def test_names_and_fingerprints_are_unambiguous(self):
         self.assertNotEqual(claim_name("a", "k"), claim_name("b", "k"))
         self.assertNotEqual(fingerprint(b"ab", b"c"), fingerprint(b"a", b"bc"))
 
-    def test_answers_are_kept_up_to_a_size_and_then_unknown(self):
+    def test_evicted_answers_become_unknown(self):
         table = RunTable(max_bytes=20)
         for number in range(3):
             table.begin(f"r{number}", "n")
@@ -63,79 +63,81 @@
         self.assertEqual(states, expected)
         table.forget_before(1.5)
         self.assertEqual(list(table.runs), ["r2"])
-        self.assertEqual(table.bytes_kept, len(ANSWER.body))
+        self.assertEqual(table.total_bytes, len(ANSWER.body))
 
 
 class Caller:
-    """A caller who sends one key through one VM, once or twice."""
+    """A caller that sends requests with one key through one VM."""
 
-    def __init__(self, world: World, vm: str, turns: int, judge: Judge) -> None:
+    def __init__(
+        self, world: World, vm: str, request_count: int, checker: EffectChecker
+    ) -> None:
         self.world = world
         self.vm = vm
-        self.turns = turns
-        self.judge = judge
+        self.request_count = request_count
+        self.checker = checker
         parts = world.add_vm(vm)
         self.claims = Claims(
             parts.context,
             parts.platform,
             parts.members,
             parts.dispatcher,
-            HOUR,
+            KEEP_HOURS,
             MEGABYTE,
         )
 
     async def run(self) -> None:
-        """Send the key; dispatch where the claim is granted."""
-        for turn in range(self.turns):
+        """Send the requests; dispatch each whose claim is granted."""
+        for turn in range(self.request_count):
             request = f"{self.vm}-{turn}"
             result = await self.claims.acquire("org", "key", "same", request)
             if result.granted:
-                await self._granted(request)
+                await self._dispatch(request)
             elif result.action is RepeatAction.GIVE_ANSWER:
-                self.judge.given(result.answer)
+                self.checker.check_answer(result.answer)
 
-    async def _granted(self, request: str) -> None:
+    async def _dispatch(self, request: str) -> None:
         scheduler = self.world.scheduler
-        way = await scheduler.step(self.vm, "admission", "ok", "refused")
-        if way == "refused":
-            self.judge.refused(request)
+        outcome = await scheduler.step(self.vm, "admission", "ok", "refused")
+        if outcome == "refused":
+            self.checker.check_refused(request)
             self.claims.abandon(request)
             await self.claims.release(request)
             return
         self.claims.running(request)
         await scheduler.step(self.vm, "dispatch")
-        self.judge.effect(request)
-        way = await scheduler.step(self.vm, "answer", "ok", "cut")
-        if way == "ok":
+        self.checker.record_effect(request)
+        outcome = await scheduler.step(self.vm, "answer", "ok", "cut")
+        if outcome == "ok":
             self.claims.finish(request, RunState.ANSWERED, ANSWER)
         else:
             self.claims.finish(request, RunState.UNKNOWN)
 
 
-class Judge:
-    """Counts effects, as the service does."""
+class EffectChecker:
+    """Checks that the request takes effect at most once at the service."""
 
     def __init__(self, test: unittest.TestCase) -> None:
         self.test = test
         self.effects: list[str] = []
 
-    def effect(self, request: str) -> None:
-        """The service runs a request."""
+    def record_effect(self, request: str) -> None:
+        """Record that the service runs a request; it must be the only one."""
         self.effects.append(request)
         self.test.assertEqual(len(self.effects), 1, self.effects)
 
-    def refused(self, request: str) -> None:
-        """A caller is told "not run"."""
-        self.test.assertEqual(self.effects, [], f"{request} was told 'not run'")
+    def check_refused(self, request: str) -> None:
+        """Check that a request reported as "not run" has had no effect."""
+        self.test.assertEqual(self.effects, [], f"{request} was reported as not run")
 
-    def given(self, answer: WholeAnswer) -> None:
-        """A caller is given an answer again."""
+    def check_answer(self, answer: WholeAnswer) -> None:
+        """Check an answer that is returned to a repeat."""
         self.test.assertEqual(answer, ANSWER)
         self.test.assertEqual(len(self.effects), 1)
 
 
 class InterleavingTest(unittest.IsolatedAsyncioTestCase):
-    """One key through several VMs: in no order is there a second effect."""
+    """A key sent through several VMs takes effect at most once, in all orders."""
 
     def setUp(self):
         for name in ("SETTLE_PAUSE",):
@@ -144,35 +146,37 @@
             self.addCleanup(patch.stop)
 
     async def search(
-        self, turns: dict[str, int], dies: str, faults: int, depth: int
+        self, request_counts: dict[str, int], crashing_vm: str, faults: int, depth: int
     ) -> int:
-        """Run all orders; each VM sends the key so often."""
+        """Run all orders of steps; each VM sends the given number of requests."""
 
         async def run(scheduler: Scheduler) -> None:
             world = World(scheduler)
-            judge = Judge(self)
-            callers = [Caller(world, vm, n, judge) for vm, n in turns.items()]
+            checker = EffectChecker(self)
+            callers = [
+                Caller(world, vm, n, checker) for vm, n in request_counts.items()
+            ]
             for caller in callers:
                 world.start(caller.run())
-            if dies:
-                world.start(world.crasher(dies))
+            if crashing_vm:
+                world.start(world.crasher(crashing_vm))
             await scheduler.run()
             await world.end()
 
         return await explore(run, faults, depth)
 
-    async def test_two_vms_with_two_faults(self):
-        orders = await self.search({"a": 1, "b": 1}, "", faults=2, depth=4)
-        self.assertGreater(orders, 1000)
+    async def test_two_vms_and_two_faults(self):
+        order_count = await self.search({"a": 1, "b": 1}, "", faults=2, depth=4)
+        self.assertGreater(order_count, 1000)
 
-    async def test_a_holder_that_dies_anywhere(self):
-        orders = await self.search({"a": 1, "b": 1}, "a", faults=2, depth=3)
-        self.assertGreater(orders, 1000)
+    async def test_holder_crashes_at_any_step(self):
+        order_count = await self.search({"a": 1, "b": 1}, "a", faults=2, depth=3)
+        self.assertGreater(order_count, 1000)
 
     async def test_repeats_through_both_vms(self):
-        orders = await self.search({"a": 2, "b": 2}, "", faults=1, depth=4)
-        self.assertGreater(orders, 1000)
+        order_count = await self.search({"a": 2, "b": 2}, "", faults=1, depth=4)
+        self.assertGreater(order_count, 1000)
 
     async def test_three_vms(self):
-        orders = await self.search({"a": 1, "b": 1, "c": 1}, "", faults=1, depth=3)
-        self.assertGreater(orders, 1000)
+        order_count = await self.search({"a": 1, "b": 1, "c": 1}, "", faults=1, depth=3)
+        self.assertGreater(order_count, 1000)
--- a/tests/state/own/test_leases.py
+++ b/tests/state/own/test_leases.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Leases: two VMs never act at once, and a frozen holder's orders do no harm."""
+"""Leases: two VMs never act at once, and a frozen holder's late orders do no harm."""
 
 from __future__ import annotations
 
@@ -17,93 +17,94 @@
 from walnutquay.state.own.leases import LeaseValue, LeaseView
 from walnutquay.state.process.ids import Incarnation, VmName
 
-SECONDS = 6.0
-ORDER = 0.5
-OWN = LeaseValue(VmName("a"), Incarnation("inc-a"), SECONDS)
-OTHER = LeaseValue(VmName("b"), Incarnation("inc-b"), SECONDS)
-NOBODY = LeaseValue(VmName(""), Incarnation(""), SECONDS)
+LEASE_SECONDS = 6.0
+ORDER_SECONDS = 0.5
+OWN_LEASE = LeaseValue(VmName("a"), Incarnation("inc-a"), LEASE_SECONDS)
+OTHER_LEASE = LeaseValue(VmName("b"), Incarnation("inc-b"), LEASE_SECONDS)
+RELEASED = LeaseValue(VmName(""), Incarnation(""), LEASE_SECONDS)
 
-# what the object held when it was seen at time 0, now -> whether it may be taken
-MAY_TAKE = [
+# The value observed at time 0, the current time -> whether the lease may be acquired.
+MAY_ACQUIRE = [
     (None, 0.0, True),
-    (NOBODY, 0.0, True),
-    (OWN, 0.0, True),
-    (OTHER, 0.0, False),
-    (OTHER, SECONDS - 0.1, False),
-    (OTHER, SECONDS + 0.1, True),
+    (RELEASED, 0.0, True),
+    (OWN_LEASE, 0.0, True),
+    (OTHER_LEASE, 0.0, False),
+    (OTHER_LEASE, LEASE_SECONDS - 0.1, False),
+    (OTHER_LEASE, LEASE_SECONDS + 0.1, True),
 ]
-# what stood before it was taken at time 0, now -> whether an order may be sent
-MAY_ORDER = [
+# The value before the acquisition at time 0, the current time -> whether an order may
+# be sent.
+MAY_SEND_ORDER = [
     (None, 0.0, True),
-    (OTHER, 0.0, False),
-    (OTHER, ORDER, True),
-    (NOBODY, ORDER / 2, False),
-    (OTHER, SECONDS - ORDER - 0.1, True),
-    # It could still be under way when the lease ends.
-    (OTHER, SECONDS - ORDER + 0.1, False),
-    (OTHER, SECONDS + 1.0, False),
+    (OTHER_LEASE, 0.0, False),
+    (OTHER_LEASE, ORDER_SECONDS, True),
+    (RELEASED, ORDER_SECONDS / 2, False),
+    (OTHER_LEASE, LEASE_SECONDS - ORDER_SECONDS - 0.1, True),
+    # The order could still be in progress when the lease expires.
+    (OTHER_LEASE, LEASE_SECONDS - ORDER_SECONDS + 0.1, False),
+    (OTHER_LEASE, LEASE_SECONDS + 1.0, False),
 ]
 
 
-# Requests that a version which fails each may get before it is held back: its test
-# needs four failures, and others may be on their way.
-MAX_BEGUN = 12
+# The maximum number of requests sent to a version that fails every one, before it gets
+# no more: its test needs four failures, and further requests may be in progress.
+MAX_DISPATCHED = 12
 
 
 class ViewTest(unittest.TestCase):
-    """The pure decisions."""
+    """Decisions from one VM's view of a lease."""
 
     def view(self, value: LeaseValue | None) -> LeaseView:
-        """:returns: a view that saw a value at time 0."""
-        view = LeaseView(Incarnation("inc-a"), ORDER)
+        """Return a view that observed a value at time 0."""
+        view = LeaseView(Incarnation("inc-a"), ORDER_SECONDS)
         if value is not None:
             view.observe(3, value, 0.0)
         return view
 
-    def test_may_take(self):
-        for value, now, expected in MAY_TAKE:
+    def test_may_acquire(self):
+        for value, now, expected in MAY_ACQUIRE:
             with self.subTest(value=value, now=now):
                 self.assertEqual(self.view(value).may_acquire(now), expected)
 
-    def test_may_order(self):
-        for value, now, expected in MAY_ORDER:
+    def test_may_send_order(self):
+        for value, now, expected in MAY_SEND_ORDER:
             with self.subTest(value=value, now=now):
                 view = self.view(value)
-                view.record_acquired(4, OWN, 0.0)
+                view.record_acquired(4, OWN_LEASE, 0.0)
                 self.assertEqual(view.fence(now) is not None, expected)
 
-    def test_one_that_sees_another_holder_has_lost_it(self):
+    def test_observing_another_holder_loses_the_lease(self):
         view = self.view(None)
-        view.record_acquired(1, OWN, 0.0)
-        view.observe(2, OTHER, 1.0)
+        view.record_acquired(1, OWN_LEASE, 0.0)
+        view.observe(2, OTHER_LEASE, 1.0)
         self.assertIsNone(view.fence(1.0))
         self.assertFalse(view.is_held(1.0))
 
 
 class InterleavingTest(unittest.IsolatedAsyncioTestCase):
-    """Two VMs that each believe to be first in rank, with faults and pauses."""
+    """Two VMs that both assume to be first in rank, with faults and delays."""
 
     async def test_never_two_at_once(self):
-        self.orders = 0
+        self.runs_with_holder = 0
 
         async def run(scheduler: Scheduler) -> None:
             world = World(scheduler)
             now = 100.0
-            held = []
+            holder_counts = []
 
             async def clock() -> None:
                 nonlocal now
                 for _ in range(5):
-                    await scheduler.step("clock", f"{SECONDS / 2} s pass")
-                    now += SECONDS / 2
+                    await scheduler.step("clock", f"{LEASE_SECONDS / 2} s pass")
+                    now += LEASE_SECONDS / 2
 
-            def two_at_once() -> None:
+            def check_one_holder() -> None:
                 fences = [
                     lease.view.fence(now)
                     for lease in leases
                     if lease.view.fence(now) is not None
                 ]
-                held.append(len(fences))
+                holder_counts.append(len(fences))
                 self.assertLessEqual(len(fences), 1, fences)
 
             async def keep(lease: Lease) -> None:
@@ -121,25 +122,25 @@
                             parts.platform,
                             parts.members,
                             "duty",
-                            SECONDS,
-                            ORDER,
+                            LEASE_SECONDS,
+                            ORDER_SECONDS,
                         )
                     )
                 for lease in leases:
                     world.start(keep(lease))
                 world.start(clock())
-                await scheduler.run(two_at_once)
+                await scheduler.run(check_one_holder)
                 await world.end()
-            self.orders += max(held)
+            self.runs_with_holder += max(holder_counts)
 
         count = await explore(run, faults=2, depth=3, walks=3000)
         self.assertGreater(count, 3000)
-        # The check would be empty if nobody ever held the lease.
-        self.assertGreater(self.orders, count / 2)
+        # The check would be vacuous if no VM ever held the lease.
+        self.assertGreater(self.runs_with_holder, count / 2)
 
 
 class FrozenHolderTest(FleetCase):
-    """Over real processes: the holder is frozen past its lease, and woken."""
+    """With real processes: the holder is frozen past its lease, and then resumed."""
 
     settings = {"platform": {"lease_seconds": 2.0}}
     engines = ("engine-1", "engine-2")
@@ -155,11 +156,11 @@
         return content
 
     async def orders(self, engine: str) -> list[dict]:
-        """:returns: the orders that an engine has carried out."""
+        """Return the orders that an engine has carried out."""
         return (await self.fleet.control(self.urls[engine], "effects"))["orders"]
 
     async def holder(self) -> str | None:
-        """:returns: the VM that may send orders now."""
+        """Return the VM that may send orders now, if any."""
         for name, vm in self.fleet.vms.items():
             _, found = await self.fleet.administer(vm, "GET", "/v1/debug/leases")
             if found["rollouts"]["fence"] is not None:
@@ -167,17 +168,17 @@
         return None
 
     async def act(self, action: str, **body) -> None:
-        """Act on the roll-out through whichever VM answers."""
+        """Act on the roll-out through the VM that is still running."""
         status, answer = await self.fleet.administer(
             self.vm(self.alive), "POST", f"/v1/rollouts/r/{action}", body
         )
         self.assertEqual(status, 200, answer)
 
-    async def test_orders_before_and_after(self):
-        async def held() -> bool:
+    async def test_successor_sends_orders_after_holder_is_frozen(self):
+        async def is_held() -> bool:
             return await self.holder() is not None
 
-        await self.until(held, "a VM holds the lease")
+        await self.until(is_held, "a VM holds the lease")
         frozen = await self.holder()
         self.alive = next(name for name in self.vms if name != frozen)
         await self.act("start", model="small", old="small-1", new="small-2")
@@ -194,7 +195,7 @@
         async def unloaded() -> bool:
             return (await self.orders("engine-1"))[-1]["action"] == "unload"
 
-        await self.until(unloaded, "the successor orders the version away")
+        await self.until(unloaded, "the successor orders the version to be unloaded")
         self.vm(frozen).process.signal(signal.SIGCONT)
         await asyncio.sleep(3.0)
         fenced = await self.orders("engine-1")
@@ -202,11 +203,11 @@
         self.assertEqual(fences, sorted(fences))
         first = next(i for i, o in enumerate(fenced) if o["from"] == self.alive)
         self.assertEqual({o["from"] for o in fenced[first:]}, {self.alive})
-        # The engine that checks no fence was never sent what does harm late.
+        # The engine that checks no fences was not sent orders that do harm when late.
         actions = {order["action"] for order in await self.orders("engine-2")}
         self.assertEqual(actions, {"load"})
 
-    async def test_a_brake_becomes_official(self):
+    async def test_a_failing_version_is_withdrawn(self):
         await self.until(self.has_holder, "a VM holds the lease")
         self.alive = "vm-a1"
         await self.act(
@@ -228,11 +229,11 @@
             return status["rollouts"][0]["state"] == "withdrawn"
 
         await self.until(withdrawn, "the failing version is withdrawn")
-        begun = (await self.dispatched_versions())["small-2"]
-        self.assertLessEqual(begun, MAX_BEGUN)
+        dispatched = (await self.dispatched_versions())["small-2"]
+        self.assertLessEqual(dispatched, MAX_DISPATCHED)
         await self.chat("vm-b1", model="answer", stream=True)
-        self.assertEqual((await self.dispatched_versions())["small-2"], begun)
+        self.assertEqual((await self.dispatched_versions())["small-2"], dispatched)
 
     async def has_holder(self) -> bool:
-        """Whether some VM holds the lease."""
+        """Return whether some VM holds the lease."""
         return await self.holder() is not None
--- a/walnutquay/state/own/bills.py
+++ b/walnutquay/state/own/bills.py
@@ -1,12 +1,12 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Bill records and the batches that they are kept in.
+"""Bill records and the batches in which they are stored.
 
-A record is named by the incarnation of the VM that made it and a number that
-counts up.  Batches are objects ``bills/<incarnation>/<first number>``, made only
-where none of that name exists, each beginning where the one before ends.  So
-whoever writes for an incarnation, itself or a peer, once or twice, finds what
-is there and goes on behind it: no record can be written twice.
+A record is identified by the incarnation of the VM that made it and a consecutive
+number.  Batches are objects named ``bills/<incarnation>/<first number>``.  A batch is
+created only if no object has its name, and starts where the previous batch ends.  So a
+VM that writes batches for an incarnation, its own or a peer's, finds the existing ones
+and continues after them, even if it writes twice: no record is stored twice.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 
 @dataclass(frozen=True, slots=True)
 class BillRecord:
-    """What one request costs its organisation.
+    """The cost of one request to its organisation.
 
-    :param number: its number within the incarnation, from 0.
-    :param request: the request.
-    :param organisation: who pays.
-    :param at: seconds of Unix time.
-    :param lines: one line a step that ran.
+    :param number: the record's number within the incarnation, from 0.
+    :param request: the request's id.
+    :param organisation: the organisation that is billed.
+    :param at: Unix time of the record in seconds.
+    :param lines: one line for each step that ran.
     """
 
     number: int
@@ -40,7 +40,7 @@
     lines: tuple[CostLine, ...]
 
     def plain(self) -> list:
-        """:returns: the record as lists, numbers and strings."""
+        """Convert the record to lists, numbers and strings, as it is encoded."""
         lines = [
             [
                 line.version,
@@ -55,7 +55,7 @@
 
     @classmethod
     def from_plain(cls, plain: list) -> BillRecord:
-        """:param plain: what :meth:`plain` made."""
+        """Create a record from the result of :meth:`plain`."""
         number, request, organisation, at, lines = plain
         return cls(
             number, request, organisation, at, tuple(CostLine(*line) for line in lines)
@@ -63,24 +63,24 @@
 
 
 def batch_name(incarnation: Incarnation, first: int) -> str:
-    """:param incarnation: whose batch it is.
+    """Return the name of a batch's object; names sort by number.
 
+    :param incarnation: the incarnation whose records the batch contains.
     :param first: the number of its first record.
-    :returns: the object's name; names sort by number.
     """
     return f"{BILL_PREFIX}{incarnation}/{first:0{NUMBER_DIGITS}d}"
 
 
 def encode_records(records: list[BillRecord]) -> bytes:
-    """:param records: records in order.
+    """Encode records for a batch or for a copy at a peer.
 
-    :returns: a batch or copy as bytes.
+    :param records: records in ascending order.
     """
     return orjson.dumps([record.plain() for record in records])
 
 
 def decode_records(data: bytes) -> list[BillRecord]:
-    """:param data: what :func:`encode_records` wrote."""
+    """Decode the result of :func:`encode_records`."""
     return [BillRecord.from_plain(plain) for plain in orjson.loads(data)]
 
 
@@ -88,9 +88,9 @@
 class BillLog:
     """The records of one incarnation that are not known to be stored.
 
-    :param incarnation: whose they are.
-    :param records: by number.
-    :param next_batch: the number at which the next batch begins.
+    :param incarnation: the incarnation that made the records.
+    :param records: the records by number.
+    :param next_batch: the number of the first record of the next batch.
     :param end: the first number from ``next_batch`` on that has no record.
     """
 
@@ -100,7 +100,7 @@
     end: int = 0
 
     def add(self, record: BillRecord) -> None:
-        """:param record: a record; one that is stored already is left out."""
+        """Add a record, unless it is already stored."""
         if record.number >= self.next_batch:
             self.records[record.number] = record
             self._advance_end()
@@ -110,39 +110,39 @@
             self.end += 1
 
     def has_gap(self) -> bool:
-        """:returns: whether a record before the last one is missing."""
+        """Return whether a record before the last one is missing."""
         return self.end - self.next_batch < len(self.records)
 
     def records_from(self, number: int) -> list[BillRecord]:
-        """:param number: a record's number.
+        """Return the unstored records from a number on, up to the first gap.
 
-        :returns: the unstored records from that number on, up to the first gap.
+        :param number: the number of the first record to return.
         """
         first = max(number, self.next_batch)
         return [self.records[n] for n in range(first, self.end)]
 
     def batch(self, limit: int) -> list[BillRecord]:
-        """List what the next batch holds.
+        """Return the records of the next batch.
 
-        :param limit: records at the most.
-        :returns: records without a gap from ``next_batch`` on; empty if none.
+        :param limit: maximum number of records.
+        :returns: records from ``next_batch`` on, up to the first gap; may be empty.
         """
         end = min(self.end, self.next_batch + limit)
         return [self.records[n] for n in range(self.next_batch, end)]
 
     def mark_stored(self, records: list[BillRecord]) -> None:
-        """Note a batch that stands in the platform, whoever wrote it.
+        """Record that a batch is stored in the platform, by this VM or another.
 
-        The log may have moved on while the batch was being written or read.
+        The log may have advanced while the batch was being written or read.
 
-        :param records: its records.
+        :param records: the batch's records.
         """
         self.mark_stored_below(records[-1].number + 1)
 
     def mark_stored_below(self, number: int) -> None:
-        """Note that all records below a number are stored.
+        """Record that all records below a number are stored.
 
-        :param number: where the next batch begins.
+        :param number: the number of the first record of the next batch.
         """
         if number <= self.next_batch:
             return
--- a/walnutquay/state/own/checking.py
+++ b/walnutquay/state/own/checking.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Checks of settings and configuration that name the file, key and reason."""
+"""Validation of configurations; problems name the file, the key and the reason."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
             seen.add(item.name)
 
 
-def _unknown(key: str, names: tuple[str, ...], known: set[str]) -> Iterator:
+def _undefined(key: str, names: tuple[str, ...], defined: set[str]) -> Iterator:
     for name in names:
-        if name in known:
+        if name in defined:
             continue
-        near = difflib.get_close_matches(name, known, n=1, cutoff=0.4)
-        hint = f"; did you mean {near[0]!r}?" if near else ""
+        close_matches = difflib.get_close_matches(name, defined, n=1, cutoff=0.4)
+        hint = f"; did you mean {close_matches[0]!r}?" if close_matches else ""
         yield key, f"{name!r} is not defined{hint}"
 
 
 def _references(content: Content) -> Iterator[tuple[str, str]]:
-    """Check that each name which is used is defined."""
+    """Check that each referenced name is defined."""
     versions = {item.name for item in content.versions}
     models = {item.model for item in content.versions}
     cascades = {item.name for item in content.cascades}
@@ -44,29 +44,29 @@
     policies = {item.name for item in content.policies}
     for index, item in enumerate(content.organisations):
         where = f"organisations[{index}]"
-        yield from _unknown(f"{where}.versions", item.versions, versions)
-        yield from _unknown(f"{where}.cascades", item.cascades, cascades)
-        yield from _unknown(f"{where}.services", item.services, services)
+        yield from _undefined(f"{where}.versions", item.versions, versions)
+        yield from _undefined(f"{where}.cascades", item.cascades, cascades)
+        yield from _undefined(f"{where}.services", item.services, services)
         if item.policy is not None:
-            yield from _unknown(f"{where}.policy", (item.policy,), policies)
+            yield from _undefined(f"{where}.policy", (item.policy,), policies)
     for index, item in enumerate(content.cascades):
-        yield from _unknown(f"cascades[{index}].steps", item.steps, models)
+        yield from _undefined(f"cascades[{index}].steps", item.steps, models)
     for index, item in enumerate(content.services):
         if item.name in versions:
             yield f"services[{index}].name", f"a version is called {item.name!r} too"
-        yield from _unknown(f"services[{index}].pool", (item.pool,), pools)
+        yield from _undefined(f"services[{index}].pool", (item.pool,), pools)
     for index, item in enumerate(content.endpoints):
         where = f"endpoints[{index}]"
-        yield from _unknown(f"{where}.pool", (item.pool,), pools)
-        yield from _unknown(f"{where}.versions", item.versions, versions)
+        yield from _undefined(f"{where}.pool", (item.pool,), pools)
+        yield from _undefined(f"{where}.versions", item.versions, versions)
         if item.service is not None:
-            yield from _unknown(f"{where}.service", (item.service,), services)
+            yield from _undefined(f"{where}.service", (item.service,), services)
 
 
 def _rollouts(content: Content) -> Iterator[tuple[str, str]]:
-    """Check that roll-outs name versions of their model and do not overlap."""
+    """Check that roll-outs refer to versions of their model and do not overlap."""
     models = {item.name: item.model for item in content.versions}
-    under_way: set[str] = set()
+    active_models: set[str] = set()
     for index, item in enumerate(content.rollouts):
         where = f"rollouts[{index}]"
         for key in ("old", "new"):
@@ -76,9 +76,9 @@
             yield f"{where}.stage", f"there are only {len(item.stages)} stages"
         if item.state not in (RolloutState.RUNNING, RolloutState.PAUSED):
             continue
-        if item.model in under_way:
+        if item.model in active_models:
             yield where, f"model {item.model!r} has another roll-out under way"
-        under_way.add(item.model)
+        active_models.add(item.model)
 
 
 def _keys(content: Content) -> Iterator[tuple[str, str]]:
@@ -101,11 +101,11 @@
 
 
 def check_content(content: Content, file: str) -> list[Problem]:
-    """Check what one model alone cannot see.
+    """Check what the types of the models alone cannot validate.
 
-    :param content: a configuration whose keys and types are right.
-    :param file: the name to give in problems.
-    :returns: the problems found; empty where there are none.
+    :param content: a configuration whose keys and types are valid.
+    :param file: the file name to give in problems.
+    :returns: the problems found; empty if there are none.
     """
     checks = (_duplicates, _references, _rollouts, _keys, _policies)
     return [
@@ -114,12 +114,12 @@
 
 
 def parse_content(plain: dict[str, Any], file: str) -> tuple[Content, list[Problem]]:
-    """Check a configuration as it was read from a file or an operator's call.
+    """Parse and check a configuration from a file or an operator's request.
 
     :param plain: the parsed TOML or JSON.
-    :param file: the name to give in problems.
-    :returns: the content and the problems; the content is empty where its
-        keys or types are wrong.
+    :param file: the file name to give in problems.
+    :returns: the content and the problems; the content is empty if its keys or types
+        are invalid.
     """
     try:
         content = Content.model_validate(plain)
--- a/walnutquay/state/own/claims.py
+++ b/walnutquay/state/own/claims.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Claims on idempotency keys: who may dispatch, and what a repeat is told."""
+"""Claims on idempotency keys: who may dispatch, and the response to repeats."""
 
 from __future__ import annotations
 
@@ -16,9 +16,10 @@
 
 
 def claim_name(organisation: OrganisationName, key: str) -> str:
-    """Name the platform object that a key is claimed by.
+    """Return the name of the platform object that represents the claim on a key.
 
-    :param organisation: whose key it is; keys of two organisations never meet.
+    :param organisation: the key's organisation; the same key of two organisations
+        gives two names.
     :param key: the caller's idempotency key.
     """
     digest = hashlib.sha256(f"{organisation}\n{key}".encode()).hexdigest()
@@ -30,13 +31,15 @@
     """The value of a claim object.
 
     :param request: the request that claimed the key.
-    :param vm: the entry VM that may dispatch it.
-    :param incarnation: that VM's incarnation; another one knows nothing.
+    :param vm: the entry VM that may dispatch the request (the holder).
+    :param incarnation: the holder's incarnation; other incarnations of the VM have no
+        record of the request.
     :param fingerprint: the hash of the request.
-    :param at: when it was claimed; seconds of Unix time, for the clean-up.
-    :param abandoned: whether the holder has given it up before any dispatch.
-        The object stays, for its version must go on counting: were it deleted
-        and made anew, two takers could each find the version that they read.
+    :param at: Unix time of the claim in seconds, used to delete expired claims.
+    :param abandoned: whether the holder abandoned the request before any dispatch.
+        The object is kept so that its version keeps increasing: if it were deleted and
+        created again, two VMs that take the claim over could each find the version
+        that they had read, and both would succeed.
     """
 
     request: RequestId
@@ -47,7 +50,7 @@
     abandoned: bool = False
 
     def encode(self) -> bytes:
-        """:returns: the claim as it is stored."""
+        """Encode the claim for the claim object."""
         return orjson.dumps(
             [
                 self.request,
@@ -61,16 +64,16 @@
 
     @classmethod
     def decode(cls, data: bytes) -> Claim:
-        """:param data: what :meth:`encode` wrote."""
+        """Decode the result of :meth:`encode`."""
         return cls(*orjson.loads(data))
 
 
 class RunState(Enum):
-    """What the holder of a claim knows of its request."""
+    """The state of a claimed request at the holder of its claim."""
 
-    # Claimed, and not yet sent to an endpoint.
+    # Claimed, but not yet sent to an endpoint.
     PENDING = "pending"
-    # The holder has given the request up before any dispatch, for good.
+    # Permanently abandoned by the holder before any dispatch.
     ABANDONED = "abandoned"
     RUNNING = "running"
     ANSWERED = "answered"
@@ -78,7 +81,7 @@
 
 
 class RepeatAction(Enum):
-    """What is done with a repeat of a claimed key."""
+    """The response to a request that repeats a claimed key."""
 
     TAKE_OVER = "take-over"
     WAIT = "wait"
@@ -90,12 +93,13 @@
 def action_for_repeat(
     claim: Claim, repeat_fingerprint: str, holder: RunState | None
 ) -> RepeatAction:
-    """Decide what a caller is told who repeats a key.
+    """Decide the response to a request that repeats a claimed key.
 
-    :param claim: the claim that stands.
-    :param repeat_fingerprint: the repeat's hash.
-    :param holder: what the holder's same incarnation says; None where it does
-        not answer or is gone, for then a dispatch cannot be ruled out.
+    :param claim: the existing claim on the key.
+    :param repeat_fingerprint: the hash of the repeated request.
+    :param holder: the request's state as reported by the incarnation that holds the
+        claim; None if that incarnation is gone or does not answer, in which case a
+        dispatch cannot be ruled out.
     """
     if claim.fingerprint != repeat_fingerprint:
         return RepeatAction.KEY_REUSED
@@ -110,12 +114,12 @@
 
 @dataclass(slots=True)
 class WholeAnswer:
-    """A finished answer, kept for repeats.
+    """A complete answer, kept to be returned to repeats.
 
     :param status: HTTP status.
     :param content_type: the media type.
-    :param body: all of it.
-    :param headers: headers that say who served it.
+    :param body: the complete body.
+    :param headers: headers that identify what served the request.
     """
 
     status: int
@@ -126,14 +130,14 @@
 
 @dataclass(slots=True)
 class Run:
-    """What a holder keeps of a claimed request.
-
-    :param claim_name: the object it was claimed by.
-    :param state: how far it has come.
-    :param answer: the answer, once there is one.
-    :param version: the claim object's version; 0 where the platform's answer to
-        the claim was lost.
-    :param ended_at: monotonic seconds at which it ended; None until then.
+    """The holder's record of a claimed request.
+
+    :param claim_name: the name of the claim object.
+    :param state: the request's state.
+    :param answer: the answer, once it is complete.
+    :param version: the claim object's version; 0 if the platform's response to the
+        claim was lost.
+    :param ended_at: when the request ended, in monotonic seconds; None until then.
     """
 
     claim_name: str
@@ -146,22 +150,22 @@
 class RunTable:
     """The claimed requests of one VM, by request id.
 
-    Answers are kept up to a number of bytes; the oldest go first, and a repeat
-    of theirs is told that the outcome is unknown.
+    Answers are kept up to a total size.  The oldest are evicted first; the outcome of
+    an evicted request is then reported as unknown to repeats.
 
-    :param max_bytes: bytes of answers to keep.
+    :param max_bytes: maximum total size of the kept answers in bytes.
     """
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
         self.runs: dict[RequestId, Run] = {}
-        self.bytes_kept = 0
+        self.total_bytes = 0
 
     def begin(self, request: RequestId, name: str) -> Run:
-        """Note a request before its claim is asked for.
+        """Record a request before its claim is requested.
 
-        :param request: its id.
-        :param name: the claim object's name.
+        :param request: the request's id.
+        :param name: the name of the claim object.
         """
         run = self.runs[request] = Run(name)
         return run
@@ -173,12 +177,12 @@
         now: float,
         answer: WholeAnswer | None = None,
     ) -> None:
-        """Note how a request ended.
+        """Record how a request ended.
 
-        :param request: its id.
-        :param state: how it ended.
-        :param now: monotonic seconds.
-        :param answer: its answer, if it has one.
+        :param request: the request's id.
+        :param state: its final state.
+        :param now: the current time in monotonic seconds.
+        :param answer: its answer, if there is one.
         """
         run = self.runs[request]
         run.state = state
@@ -186,22 +190,22 @@
         if answer is None:
             return
         run.answer = answer
-        self.bytes_kept += len(answer.body)
-        self._make_room()
+        self.total_bytes += len(answer.body)
+        self._evict_answers()
 
-    def _make_room(self) -> None:
+    def _evict_answers(self) -> None:
         for run in self.runs.values():
-            if self.bytes_kept <= self.max_bytes:
+            if self.total_bytes <= self.max_bytes:
                 return
             if run.answer is not None:
-                self.bytes_kept -= len(run.answer.body)
+                self.total_bytes -= len(run.answer.body)
                 run.answer = None
                 run.state = RunState.UNKNOWN
 
     def forget_before(self, moment: float) -> None:
-        """Forget what ended long ago.
+        """Delete the requests that ended before a time.
 
-        :param moment: monotonic seconds.
+        :param moment: the time in monotonic seconds.
         """
         old = [
             request
@@ -211,4 +215,4 @@
         for request in old:
             run = self.runs.pop(request)
             if run.answer is not None:
-                self.bytes_kept -= len(run.answer.body)
+                self.total_bytes -= len(run.answer.body)
--- a/walnutquay/state/own/configuration.py
+++ b/walnutquay/state/own/configuration.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""A whole configuration: its parts, their hashes, and look-ups by name."""
+"""The configuration: its parts, their hashes, and look-ups by name."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
     Version,
 )
 
-# Each part of a configuration is kept as an object of its own; a change
-# writes only the parts that it touches.
+# Each part of a configuration is stored as a separate object, so that a change writes
+# only the parts that it affects.
 PART_MODELS: dict[str, type[Part]] = {
     "organisations": Organisation,
     "versions": Version,
@@ -46,21 +46,22 @@
     "halls": Hall,
 }
 
-# Endpoints are kept in this many buckets, for all of them together may be larger
-# than one of the platform's values, and a change then moves one bucket only.
-BUCKETED = "endpoints"
-BUCKETS = 16
-BUCKET_MARK = "/"
-# The region of data halls of which nothing is said.
+# Endpoints are stored in this many buckets, because all of them together may exceed the
+# size limit of a value in the platform, and because a change of one endpoint then
+# writes a single bucket.
+BUCKETED_PART = "endpoints"
+BUCKET_COUNT = 16
+BUCKET_SEPARATOR = "/"
+# The region of data halls that are not configured.
 DEFAULT_REGION = "default"
 
-# Operations that the head remembers, so that an operator whose answer was
-# lost can still learn whether the change took effect.
-HEAD_OPERATIONS = 256
+# The number of operations that the head lists, so that an operator who did not receive
+# the response to a change can still find out whether the change took effect.
+MAX_HEAD_OPERATIONS = 256
 
 
 class Content(Part):
-    """Everything that operators set, checked; see :class:`Configuration`."""
+    """All that operators configure, validated; see :class:`Configuration`."""
 
     organisations: tuple[Organisation, ...] = ()
     versions: tuple[Version, ...] = ()
@@ -74,7 +75,7 @@
 
 
 def encode_part(items: tuple[BaseModel, ...]) -> bytes:
-    """Write one part in the one form that its hash is taken from.
+    """Encode a part in the canonical form from which its hash is computed.
 
     :param items: the part's items.
     :returns: canonical JSON.
@@ -84,37 +85,39 @@
 
 
 def part_names() -> list[str]:
-    """:returns: the names that a head gives hashes for."""
-    names = [name for name in PART_MODELS if name != BUCKETED]
-    return names + [f"{BUCKETED}{BUCKET_MARK}{n:02d}" for n in range(BUCKETS)]
+    """Return the names of all stored parts, for which a head lists hashes."""
+    names = [name for name in PART_MODELS if name != BUCKETED_PART]
+    return names + [
+        f"{BUCKETED_PART}{BUCKET_SEPARATOR}{n:02d}" for n in range(BUCKET_COUNT)
+    ]
 
 
 def _bucket(name: str) -> str:
-    number = xxhash.xxh3_64_intdigest(name.encode()) % BUCKETS
-    return f"{BUCKETED}{BUCKET_MARK}{number:02d}"
+    number = xxhash.xxh3_64_intdigest(name.encode()) % BUCKET_COUNT
+    return f"{BUCKETED_PART}{BUCKET_SEPARATOR}{number:02d}"
 
 
 def part_hash(data: bytes) -> str:
-    """Name a part by what it holds.
+    """Return the hash that identifies a part by its content.
 
-    :param data: the part as :func:`encode_part` wrote it.
+    :param data: the part as encoded by :func:`encode_part`.
     :returns: 64 hex digits.
     """
     return hashlib.sha256(data).hexdigest()
 
 
 class HeadOperation(Part):
-    """An accepted change, as the head remembers it."""
+    """An entry in the head for an accepted change."""
 
     operation: str
     revision: int
 
 
 class Head(Part):
-    """The one object that says which parts are in force.
+    """The object that lists the parts in force.
 
-    Whoever replaces it by a conditional update has had a change accepted:
-    there is one order of changes and one point at which each is accepted.
+    A change is accepted by a conditional update that replaces the head.  Changes thus
+    have a total order, and each is accepted at a single point in time.
     """
 
     revision: int
@@ -122,19 +125,19 @@
     operations: tuple[HeadOperation, ...] = ()
 
     def encode(self) -> bytes:
-        """:returns: the head as it is stored."""
+        """Encode the head for its object."""
         return orjson.dumps(self.model_dump(mode="json"), option=orjson.OPT_SORT_KEYS)
 
     @classmethod
     def decode(cls, data: bytes) -> Head:
-        """:param data: what :meth:`encode` wrote."""
+        """Decode the result of :meth:`encode`."""
         return cls.model_validate_json(data)
 
     def revision_of(self, operation: str) -> int | None:
-        """Tell whether a change took effect.
+        """Return the revision that a change created.
 
-        :param operation: the change's own id.
-        :returns: the revision it made, or None where the head does not know it.
+        :param operation: the id of the change.
+        :returns: the revision, or None if the head does not list the change.
         """
         for entry in self.operations:
             if entry.operation == operation:
@@ -142,28 +145,28 @@
         return None
 
     def successor(self, parts: dict[str, str], operation: str) -> Head:
-        """Make the head that follows this one.
+        """Return the head that follows this one.
 
-        :param parts: hash by part name, all of them.
+        :param parts: the hashes of all parts by name.
         :param operation: the id of the change.
         """
         revision = self.revision + 1
         entry = HeadOperation(operation=operation, revision=revision)
-        operations = (*self.operations, entry)[-HEAD_OPERATIONS:]
+        operations = (*self.operations, entry)[-MAX_HEAD_OPERATIONS:]
         return Head(revision=revision, parts=parts, operations=operations)
 
 
 def first_head() -> Head:
-    """:returns: the head of a fleet that was never configured."""
+    """Return the head of a fleet that has never been configured."""
     empty = part_hash(encode_part(()))
     return Head(revision=NO_REVISION, parts=dict.fromkeys(part_names(), empty))
 
 
 @dataclass(frozen=True)
 class Configuration:
-    """What a VM has in force: a revision and the content that belongs to it.
+    """The configuration in force on a VM: a revision and its content.
 
-    It never changes; look-ups are worked out once and kept.
+    It is immutable; look-up tables are computed once and cached.
     """
 
     revision: Revision = NO_REVISION
@@ -229,19 +232,19 @@
 
     @cached_property
     def emptied_halls(self) -> frozenset[str]:
-        """The data halls whose endpoints get nothing more."""
+        """The data halls whose endpoints are sent no new requests."""
         return frozenset(item.name for item in self.content.halls if item.emptied)
 
     @cached_property
     def regions(self) -> dict[HallName, RegionName]:
-        """The region of each data hall that endpoints stand in."""
+        """The region of each data hall that is configured or has endpoints."""
         known = {item.hall: DEFAULT_REGION for item in self.content.endpoints}
         known |= {item.name: item.region for item in self.content.halls}
         return {HallName(hall): RegionName(name) for hall, name in known.items()}
 
     @cached_property
     def endpoints_of_version(self) -> dict[str, list[Endpoint]]:
-        """Endpoints that have a version loaded."""
+        """Endpoints that have a version loaded, by version."""
         found: dict[str, list[Endpoint]] = {}
         for item in self.content.endpoints:
             for version in item.versions:
@@ -250,7 +253,7 @@
 
     @cached_property
     def endpoints_of_service(self) -> dict[str, list[Endpoint]]:
-        """Endpoints that run a plain service."""
+        """Endpoints that run a plain service, by service."""
         found: dict[str, list[Endpoint]] = {}
         for item in self.content.endpoints:
             if item.service is not None:
@@ -258,10 +261,10 @@
         return found
 
     def part_bytes(self) -> dict[str, bytes]:
-        """:returns: each part as it is stored, by name."""
+        """Return each part in its stored form, by name."""
         items: dict[str, list[Part]] = {name: [] for name in part_names()}
         for name in PART_MODELS:
-            if name != BUCKETED:
+            if name != BUCKETED_PART:
                 items[name] = list(getattr(self.content, name))
         for endpoint in self.content.endpoints:
             items[_bucket(endpoint.name)].append(endpoint)
@@ -269,13 +272,13 @@
 
 
 def configuration_from_parts(revision: int, parts: dict[str, bytes]) -> Configuration:
-    """Put a configuration together from its stored parts.
+    """Assemble a configuration from its stored parts.
 
     :param revision: the head's revision.
-    :param parts: each part's bytes by name.
-    :raises pydantic.ValidationError: if a part is not what the models say.
+    :param parts: the bytes of each part by name.
+    :raises pydantic.ValidationError: if a part does not match its model.
     """
     plain: dict[str, Any] = {name: [] for name in PART_MODELS}
     for name, data in sorted(parts.items()):
-        plain[name.split(BUCKET_MARK)[0]].extend(orjson.loads(data))
+        plain[name.split(BUCKET_SEPARATOR)[0]].extend(orjson.loads(data))
     return Configuration(Revision(revision), Content.model_validate(plain))
--- a/walnutquay/state/own/halls.py
+++ b/walnutquay/state/own/halls.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What operators may do with a data hall, as changes of the configuration."""
+"""Operators' actions on a data hall, applied as changes to the configuration."""
 
 from __future__ import annotations
 
@@ -13,27 +13,28 @@
 
 
 class HallAction(Enum):
-    """What can be done with a data hall."""
+    """An operator's action on a data hall."""
 
-    # Its endpoints get nothing more; what runs there runs on.
+    # Its endpoints are sent no new requests; requests in progress continue.
     EMPTY = "empty"
-    # They may be sent requests again.
+    # Its endpoints may be sent requests again.
     FILL = "fill"
 
 
 def change_hall(content: Content, name: str, action: HallAction) -> Content:
-    """Work out the configuration that follows an operator's action.
+    """Return the configuration after an operator's action on a data hall.
 
-    :param content: the present configuration.
-    :param name: the data hall.
-    :param action: what to do with it; what is done already changes nothing.
-    :raises ConfigurationError: if no endpoint stands in such a hall.
+    :param content: the current configuration.
+    :param name: the data hall's name.
+    :param action: the action; repeating it changes nothing.
+    :raises ConfigurationError: if neither an endpoint nor the list of data halls names
+        the hall.
     """
     known = {item.hall for item in content.endpoints}
     known |= {item.name for item in content.halls}
     if name not in known:
-        near = difflib.get_close_matches(name, known, n=1, cutoff=0.4)
-        hint = f"; did you mean {near[0]!r}?" if near else ""
+        close_matches = difflib.get_close_matches(name, known, n=1, cutoff=0.4)
+        hint = f"; did you mean {close_matches[0]!r}?" if close_matches else ""
         raise ConfigurationError(f"no endpoint stands in data hall {name!r}{hint}")
     halls = {item.name: item for item in content.halls}
     emptied = action is HallAction.EMPTY
--- a/walnutquay/state/own/leases.py
+++ b/walnutquay/state/own/leases.py
@@ -1,11 +1,12 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Leases on duties whose doubling does harm: who may act, and since when.
+"""Leases on duties that two VMs must not perform at once: who may act, and since when.
 
-The platform's object says who holds a lease; no clock is shared.  A holder
-counts the lease from before it asked for it; all others count it from when they
-first saw the object's version.  So the holder's time always ends first.  The
-object's version is the fence that each order carries; it is never made anew.
+An object in the platform records the holder of a lease.  The VMs share no clock: the
+holder counts the lease from before it requested it, all others from when they first
+observed the object's version.  The lease thus always expires at the holder first.  The
+object's version is the fence that each order carries.  The object is never deleted and
+created again, so fences only increase.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseValue:
-    """What the lease's object holds.
+    """The value of a lease's object.
 
-    :param vm: the holder; empty once it has been given back.
+    :param vm: the holder; empty after the lease has been released.
     :param incarnation: the holder's incarnation.
-    :param seconds: how long the lease runs from each renewal.
-    :param writes: how often its holder has written it.  The platform leaves an
-        object's version as it is where a write changes nothing, and others see a
-        renewal by the version alone.
+    :param seconds: duration of the lease from each renewal.
+    :param writes: number of times that the holder has written the value.  It makes each
+        write change the value: the platform keeps an object's version if a write
+        changes nothing, and other VMs notice a renewal only by a new version.
     """
 
     vm: VmName
@@ -37,40 +38,42 @@
     writes: int = 0
 
     def encode(self) -> bytes:
-        """:returns: the value as it is stored."""
+        """Encode the value for the lease's object."""
         return orjson.dumps([self.vm, self.incarnation, self.seconds, self.writes])
 
     @classmethod
     def decode(cls, data: bytes) -> LeaseValue:
-        """:param data: what :meth:`encode` wrote."""
+        """Decode the result of :meth:`encode`."""
         return cls(*orjson.loads(data))
 
 
 @dataclass(slots=True)
 class LeaseView:
-    """One VM's view of one lease; times are monotonic seconds that count pauses.
+    """One VM's view of one lease.
+
+    Times are seconds of a monotonic clock that includes the time a VM is suspended.
 
     :param incarnation: this VM's incarnation.
-    :param order_seconds: how long an order may be under way at the most.
+    :param order_seconds: maximum time that an order may be in progress.
     """
 
     incarnation: Incarnation
     order_seconds: float
-    # The object's version and value as last seen; version 0 is "none yet".
+    # The object's version and value as last observed; version 0 if none exists yet.
     version: int = 0
     value: LeaseValue | None = None
-    # When this version was first seen.
+    # When this version was first observed.
     seen_at: float = 0.0
-    # Until when this VM holds the lease, and from when on it may act.
+    # The time until which this VM holds the lease, and the time from which it may act.
     held_until: float = float("-inf")
-    acts_from: float = float("inf")
+    may_act_from: float = float("inf")
 
     def observe(self, version: int, value: LeaseValue | None, now: float) -> None:
-        """Take in what the platform holds.
+        """Apply the version and value that were read from the platform.
 
         :param version: the object's version.
-        :param value: its value; None where there is none.
-        :param now: when the answer came.
+        :param value: its value; None if there is no object.
+        :param now: when the platform's response arrived.
         """
         if version == self.version:
             return
@@ -81,14 +84,14 @@
             self.mark_lost()
 
     def mark_lost(self) -> None:
-        """Note that this VM does not hold the lease, or cannot be sure of it."""
+        """Record that this VM does not hold the lease, or cannot be sure of it."""
         self.held_until = float("-inf")
-        self.acts_from = float("inf")
+        self.may_act_from = float("inf")
 
     def may_acquire(self, now: float) -> bool:
-        """:param now: the time.
+        """Return whether no other VM can hold the lease any longer.
 
-        :returns: whether nobody can hold the lease any more.
+        :param now: the current time.
         """
         if self.value is None or not self.value.vm:
             return True
@@ -97,38 +100,38 @@
         return now > self.seen_at + self.value.seconds
 
     def record_acquired(self, version: int, value: LeaseValue, asked_at: float) -> None:
-        """Note that this VM took or renewed the lease.
+        """Record that this VM acquired or renewed the lease.
 
-        After a change of holder the new one waits until the longest order of
-        the one before has ended: an order that was under way when its lease
-        ended cannot be called back.
+        After a change of holder, the new holder waits for as long as an order of the
+        previous one can take: an order that was in progress when the lease expired
+        cannot be cancelled.
 
         :param version: the object's new version.
         :param value: its new value.
-        :param asked_at: when this VM asked for it.
+        :param asked_at: when this VM requested the lease.
         """
         renewed = self.is_held(asked_at)
-        fresh = self.value is None
+        never_held = self.value is None
         self.version = version
         self.value = value
         self.seen_at = asked_at
         self.held_until = asked_at + value.seconds
         if not renewed:
-            self.acts_from = asked_at + (0.0 if fresh else self.order_seconds)
+            self.may_act_from = asked_at + (0.0 if never_held else self.order_seconds)
 
     def is_held(self, now: float) -> bool:
-        """:param now: the time.
+        """Return whether this VM holds the lease.
 
-        :returns: whether this VM holds the lease.
+        :param now: the current time.
         """
         return now < self.held_until
 
     def fence(self, now: float) -> int | None:
-        """Say whether an order may be sent now.
+        """Return the fence for an order that is sent now.
 
-        :param now: the time.
-        :returns: the order's fence; None where it may not be sent, also where
-            it could still be under way when the lease ends.
+        :param now: the current time.
+        :returns: the order's fence; None if no order may be sent, which includes the
+            case that it could still be in progress when the lease expires.
         """
         in_time = now + self.order_seconds < self.held_until
-        return self.version if in_time and now >= self.acts_from else None
+        return self.version if in_time and now >= self.may_act_from else None
--- a/walnutquay/state/own/policies.py
+++ b/walnutquay/state/own/policies.py
@@ -3,13 +3,13 @@
 """Policy programs: short Starlark functions that order and filter candidates.
 
 A program defines ``route(request, candidates)``.  ``request`` is a dict with
-``organisation``, ``class``, ``asked`` (the cascade or version that was named),
+``organisation``, ``class``, ``asked`` (the cascade or version that was requested),
 ``size`` (``"small"``, ``"medium"`` or ``"large"``) and ``stream``.
 ``candidates`` is a list of dicts with ``name``, ``model``, ``price_input`` and
 ``price_output``.  It returns a list of candidate names, best first.
 
-What a program returns is only ever a choice among what it was given: the guard
-in :mod:`walnutquay.state.own.routing` comes after it.
+A program can only choose among the candidates that it was given: the checks in
+:mod:`walnutquay.state.own.routing` are applied to its result.
 """
 
 from __future__ import annotations
@@ -21,18 +21,22 @@
 from walnutquay.exceptions import PolicyError
 from walnutquay.state.store.parts import Policy, Version
 
-# Starlark asks about every thousand instructions whether to go on.  Counting
-# the questions, not time, makes the bound the same on every run.
+# The maximum number of cancellation checks in one run; Starlark makes one about every
+# thousand instructions.  Counting checks instead of time makes the limit the same on
+# every run.
 MAX_CANCEL_CHECKS = 50
 MAX_CALL_DEPTH = 32
-# Answers are kept per program and question; this many before starting afresh.
-MAX_KEPT_ANSWERS = 4096
+# The number of results that are cached per program before its cache is cleared.
+MAX_CACHED_RESULTS = 4096
 FUNCTION = "route"
 
 
 @dataclass(frozen=True, slots=True)
 class PolicyRequest:
-    """What a program is told of a request; few values, so that answers repeat."""
+    """The request as passed to a program.
+
+    It has few distinct values, so that cached results can often be reused.
+    """
 
     organisation: str
     request_class: str
@@ -41,7 +45,7 @@
     stream: bool
 
     def plain(self) -> dict[str, object]:
-        """:returns: the request as the program sees it."""
+        """Convert the request to the dict that is passed to the program."""
         return {
             "organisation": self.organisation,
             "class": self.request_class,
@@ -56,62 +60,62 @@
 
 
 class PolicyProgram:
-    """One compiled program.
+    """A compiled policy program.
 
     :param policy: the policy to compile.
-    :raises PolicyError: if it does not parse or defines no ``route``.
+    :raises PolicyError: if the program does not parse, or fails when evaluated.
     """
 
     def __init__(self, policy: Policy) -> None:
         self.name = policy.name
-        # Answers by question; a program sees nothing else, so they hold for as
-        # long as the program does.
-        self.answers: dict[tuple, tuple[str, ...]] = {}
+        # Results by request and candidates.  A program has no other input, so they
+        # stay valid for as long as the program is in use.
+        self.cached_results: dict[tuple, tuple[str, ...]] = {}
         module = starlark.Module()
         try:
             ast = starlark.parse(policy.name, policy.source)
-            options = self.bounded()
+            options = self.limited_options()
             starlark.eval_with(options, module, ast, starlark.Globals.standard())
             self.module = module.freeze()
         except starlark.StarlarkError as error:
             raise PolicyError(str(error), step="compile", peer=policy.name) from error
 
     @staticmethod
-    def bounded() -> starlark.EvalOptions:
-        """:returns: options that end a program after a fixed amount of work."""
-        asked = 0
+    def limited_options() -> starlark.EvalOptions:
+        """Return options that stop a program after a fixed amount of work."""
+        check_count = 0
 
-        def spent() -> bool:
-            nonlocal asked
-            asked += 1
-            return asked > MAX_CANCEL_CHECKS
+        def is_exhausted() -> bool:
+            nonlocal check_count
+            check_count += 1
+            return check_count > MAX_CANCEL_CHECKS
 
         return starlark.EvalOptions(
-            check_cancelled=spent, max_callstack_size=MAX_CALL_DEPTH
+            check_cancelled=is_exhausted, max_callstack_size=MAX_CALL_DEPTH
         )
 
     def order(
         self, request: PolicyRequest, candidates: tuple[Version, ...]
     ) -> tuple[str, ...]:
-        """Ask the program which candidates to use.
+        """Run the program to order the candidates.
 
-        :param request: what is asked for.
-        :param candidates: the versions that are allowed.
-        :returns: names of candidates, best first; names that it invents are
-            left out.
-        :raises PolicyError: if the program fails or runs for too long.
+        :param request: the request to route.
+        :param candidates: the allowed versions.
+        :returns: names of candidates, best first; names that are not candidates are
+            dropped.
+        :raises PolicyError: if the program fails or exceeds its limits.
         """
-        question = (request, candidates)
-        kept = self.answers.get(question)
-        if kept is not None:
-            return kept
-        answer = self._ask(request, candidates)
-        if len(self.answers) >= MAX_KEPT_ANSWERS:
-            self.answers.clear()
-        self.answers[question] = answer
-        return answer
-
-    def _ask(
+        cache_key = (request, candidates)
+        cached = self.cached_results.get(cache_key)
+        if cached is not None:
+            return cached
+        names = self._run(request, candidates)
+        if len(self.cached_results) >= MAX_CACHED_RESULTS:
+            self.cached_results.clear()
+        self.cached_results[cache_key] = names
+        return names
+
+    def _run(
         self, request: PolicyRequest, candidates: tuple[Version, ...]
     ) -> tuple[str, ...]:
         plain = [
@@ -125,7 +129,7 @@
         ]
         try:
             result = self.module.call_with(
-                self.bounded(), FUNCTION, request.plain(), plain
+                self.limited_options(), FUNCTION, request.plain(), plain
             )
             value = result.value
         except (starlark.StarlarkError, AttributeError) as error:
@@ -141,19 +145,19 @@
 class PolicyPrograms:
     """The compiled programs of the configuration that is in force.
 
-    A program that does not compile, though it was checked when applied, leaves
-    the last good one of its name in place; ``failed`` names it.
+    If a program does not compile, although it was checked when the configuration was
+    applied, the last working program of its name is kept, and ``failed`` has the error.
     """
 
     def __init__(self) -> None:
         self.programs: dict[str, PolicyProgram] = {}
-        # Source by name, to compile only what changed.
+        # The source of each program by name, to compile only those that change.
         self.sources: dict[str, str] = {}
-        # Why a program of this name is not the one that is configured.
+        # The last error of each failed program by name.
         self.failed: dict[str, str] = {}
 
     def load(self, policies: tuple[Policy, ...]) -> None:
-        """Compile what changed.
+        """Compile the new and changed programs, and drop the removed ones.
 
         :param policies: the policies of the configuration in force.
         """
@@ -178,13 +182,13 @@
         request: PolicyRequest,
         candidates: tuple[Version, ...],
     ) -> tuple[str, ...]:
-        """Order candidates by a policy; without one, in the order given.
+        """Order the candidates by a policy; without one, keep their order.
 
-        :param name: the policy's name.
-        :param request: what is asked for.
-        :param candidates: the versions that are allowed.
-        :returns: names, best first.  Where the program fails, the given order,
-            and ``failed`` says why.
+        :param name: the policy's name; None for no policy.
+        :param request: the request to route.
+        :param candidates: the allowed versions.
+        :returns: names of candidates, best first.  If the program fails, all names in
+            the given order, and the error is added to ``failed``.
         """
         given = tuple(version.name for version in candidates)
         program = self.programs.get(name) if name is not None else None
@@ -198,10 +202,10 @@
 
     @staticmethod
     def check(policy: Policy) -> str | None:
-        """Compile a program and run it once on a sample.
+        """Compile a program and run it once on a sample request.
 
         :param policy: the policy to check.
-        :returns: what is wrong with it, or None.
+        :returns: the error, or None if there is none.
         """
         try:
             PolicyProgram(policy).order(SAMPLE_REQUEST, (SAMPLE_VERSION,))
--- a/walnutquay/state/own/sessions.py
+++ b/walnutquay/state/own/sessions.py
@@ -20,18 +20,18 @@
 )
 
 TOKEN_SALT = "walnutquay.session"
-# Stands before the fields, so that nothing else signed by these keys passes.
+# Precedes the fields, so that no other data signed with these keys is accepted.
 PREFIX = b"pin1"
 
 
 @dataclass(frozen=True, slots=True)
 class Pin:
-    """What a session keeps.
+    """The state that binds a session to versions.
 
     :param session: the session's id.
-    :param organisation: whose session it is.
+    :param organisation: the organisation that the session belongs to.
     :param versions: the version of each model that the session has used.
-    :param endpoint: where its prompt prefix is likely to be cached; a hint.
+    :param endpoint: the endpoint that has probably cached its prompt prefix; a hint.
     :param revision: the configuration revision at the last turn.
     """
 
@@ -42,7 +42,7 @@
     revision: Revision = NO_REVISION
 
     def version_of(self, model: str) -> str | None:
-        """Tell the version of a model that this session is bound to.
+        """Return the version of a model that this session is bound to, if any.
 
         :param model: the model's name.
         """
@@ -51,12 +51,13 @@
     def after_turn(
         self, model: str, version: str, endpoint: str, revision: Revision
     ) -> Pin:
-        """Make the pin that holds after a turn.
+        """Return the session's pin after a turn.
 
-        :param model: the model that served it.
-        :param version: the version that did; an earlier binding stays.
-        :param endpoint: where.
-        :param revision: the configuration that was in force.
+        :param model: the model that served the turn.
+        :param version: the version that served it; an existing binding of the model to
+            another version is kept.
+        :param endpoint: the endpoint that served it.
+        :param revision: the configuration revision that was in force.
         """
         versions = dict(self.versions)
         versions.setdefault(model, version)
@@ -65,25 +66,25 @@
 
 
 class PinSealer:
-    """Signs pins and reads them back.
+    """Signs pins as tokens, and verifies and decodes tokens.
 
-    :param keys: the fleet's keys, oldest first: the last one signs, all are
-        accepted, so that keys can be changed without dropping sessions.
-    :param max_age: seconds after which a token is too old.
+    :param keys: the fleet's keys, oldest first: the last one signs and all are
+        accepted, so that keys can be rotated without invalidating sessions.
+    :param max_age: seconds after which a token is no longer accepted.
     """
 
     def __init__(self, keys: list[str], max_age: float) -> None:
-        # The keys are long and random already, so none is derived from them:
-        # deriving one anew for each token cost more than the signature.
+        # The keys are already long and random, so no key is derived from them:
+        # deriving one for each token took longer than computing the signature.
         self.signer = TimestampSigner(
             keys, salt=TOKEN_SALT, key_derivation="none", digest_method=sha256
         )
         self.max_age = max_age
 
     def seal(self, pin: Pin) -> str:
-        """:param pin: the pin to sign.
+        """Sign a pin and return the token.
 
-        :returns: the token.
+        :param pin: the pin to sign.
         """
         fields = [
             pin.session,
@@ -96,11 +97,11 @@
         return self.signer.sign(payload).decode("ascii")
 
     def open(self, token: str, organisation: str) -> Pin:
-        """Read a token.
+        """Verify a token and return its pin.
 
-        :param token: what the caller sent.
-        :param organisation: who the caller is.
-        :raises TokenError: if it is forged, too old or another organisation's.
+        :param token: the token that the caller sent.
+        :param organisation: the caller's organisation.
+        :raises TokenError: if the token is invalid, too old or another organisation's.
         """
         try:
             payload = urlsafe_b64decode(self.signer.unsign(token, self.max_age))
