--- a/lab/capacity/processortime.py
+++ b/lab/capacity/processortime.py
@@ -121,7 +121,7 @@
 
     async def place() -> None:
         placed = await vm.places.acquire(_need(vm, vm.turn()))
-        vm.places.began(placed.ok, 0.05)
+        vm.places.answer_began(placed.ok, 0.05)
         vm.places.release(placed.ok)
 
     async def larger() -> None:
@@ -216,7 +216,7 @@
         vm.peers.is_keeper("trials/o")
 
     async def opinions() -> None:
-        cascading.tell_peers()
+        cascading.send_gains()
 
     yield "whether it is a relay", watchers
     yield "whether it is a keeper", keeper
--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -92,9 +92,9 @@
     Mutation(
         "engines: those that cannot be connected to are not waited for",
         "coordination/routed/bodies.py",
-        "given_up = not waiting.done() and not await self.still_there()",
-        "given_up = False",
-        "tests.coordination.routed.test_silence.DarkEngineTest",
+        "unreachable = not connecting.done() and not await self.check_reachable()",
+        "unreachable = False",
+        "tests.coordination.routed.test_silence.UnreachableEngineTest",
     ),
     Mutation(
         "roll-outs: sessions that another VM keeps stay on the old version",
@@ -105,16 +105,16 @@
     ),
     Mutation(
         "roll-outs: a VM that starts takes up what others have decided",
-        "coordination/trials/news.py",
-        "trial.join(told.report, now)",
+        "coordination/trials/exchange.py",
+        "trial.join(response.report, now)",
         "trial.open = True",
         "tests.coordination.trials.test_session_versions.StartingVmTest",
     ),
     Mutation(
         "roll-outs: what was decided is told twice",
         "coordination/trials/task.py",
-        "DECIDED_TELLS = 2",
-        "DECIDED_TELLS = 1",
+        "DECISION_ANNOUNCEMENTS = 2",
+        "DECISION_ANNOUNCEMENTS = 1",
         "tests.lab.test_trialfleet",
     ),
     Mutation(
@@ -255,30 +255,31 @@
     Mutation(
         "trials: an answer that does not begin counts as soon as it is late",
         "coordination/trials/versions.py",
-        "self.judge.look()",
+        "self.evaluator.check_overdue()",
         "pass",
-        "tests.coordination.trials.test_versions.WaitingTest",
+        "tests.coordination.trials.test_versions.OverdueTest",
     ),
     Mutation(
         "trials: an answer of which nothing is known to be usual tells nothing",
-        "coordination/trials/judging.py",
+        "coordination/trials/evaluation.py",
         "        if ratio is not None:\n            sluggish",
         "        ratio = ratio or 0.0\n        if True:\n            sluggish",
-        "tests.coordination.trials.test_judging.UnknownTest.test_it_counts_neither_way",
+        "tests.coordination.trials.test_evaluation.NoBaselineTest.test_times_are_not_counted",
     ),
     Mutation(
         "trials: VMs tell each other what is usual",
-        "coordination/trials/news.py",
-        "self.usual.receive(service, vm, news.report.usual)",
+        "coordination/trials/exchange.py",
+        "self.baseline.receive(service, vm, update.report.usual)",
         "pass",
-        "tests.coordination.trials.test_trialnews.UsualTest",
+        "tests.coordination.trials.test_trialexchange.BaselineTest",
     ),
     Mutation(
         "trials: what lost VMs had seen is read in the store",
-        "coordination/trials/news.py",
+        "coordination/trials/exchange.py",
         "await self._recover(trial)",
         "pass",
-        "tests.coordination.trials.test_trialrecord.AskingTest.test_nobody_has",
+        "tests.coordination.trials.test_trialrecord.CatchUpTest."
+        "test_the_store_is_read_if_nobody_has_seen_answers",
     ),
     Mutation(
         "list of VMs: one that starts where its entry was left says that it is back",
@@ -335,7 +336,7 @@
         "coordination/routed/cold.py",
         "if self.context.vm not in assigned_senders(instance.name, vms, count):",
         "if False:",
-        "tests.coordination.routed.test_cold.KeepersTest",
+        "tests.coordination.routed.test_cold.SeveralVmsTest",
     ),
     Mutation(
         "cold endpoints: what is sent there is not counted",
@@ -347,7 +348,7 @@
     Mutation(
         "a hall that was emptied: its endpoints are warm at once",
         "daemon/gateway.py",
-        "self.knowledge.halls.back_listeners.append(places.cold.on_hall_back)",
+        "self.knowledge.halls.back_listeners.append(admission.cold.on_hall_back)",
         "pass",
         "tests.coordination.routed.test_cold.HallBackTest",
     ),
@@ -360,7 +361,7 @@
     ),
     Mutation(
         "regions: a route's endpoints are asked wherever they stand",
-        "coordination/routed/places.py",
+        "coordination/routed/admission.py",
         "allowed = filter_by_region(candidates, need.regions, self.region_of)",
         "allowed = candidates",
         "tests.coordination.requests.test_regions.RouteRegionsTest",
--- a/tests/coordination/routed/test_promptengines.py
+++ b/tests/coordination/routed/test_promptengines.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The choice among engines for a prompt."""
+"""Tests of the choice among engines for a prompt."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 import unittest
 
 from walnutquay.coordination.routed.promptengines import (
-    OTHER_HALL_WAIT,
-    RUNNING_SECONDS,
-    EngineBeliefs,
+    OTHER_HALL_WAIT_SHARE,
+    SECONDS_PER_RUNNING_REQUEST,
+    EngineState,
     PromptEngines,
 )
 from walnutquay.state.process.ids import (
@@ -31,7 +31,7 @@
 
 
 def engine(number: int) -> Instance:
-    """:returns: an engine; a third of them stand here."""
+    """Return an engine; a third of them are in this VM's data hall."""
     return Instance(
         EndpointName(f"e{number}"),
         ServiceName("s"),
@@ -42,8 +42,8 @@
     )
 
 
-class Drawn:
-    """Engines of which a VM believes what a seed draws.
+class RandomEngines:
+    """Engines with a random assumed state.
 
     :param seed: the seed.
     """
@@ -56,7 +56,7 @@
         self.work.apply_peer_rate("m", 1e-5 * rng.randint(1, 20))
         subject = rng.choice(["", "a-subject"])
         self.prompt = PromptWork("m", rng.randint(1, 50_000), subject, 4_000)
-        self.aim = rng.choice([0.3, 2.0])
+        self.objective = rng.choice([0.3, 2.0])
         for item in self.engines:
             self.table.report(item.name, rng.randint(0, 30), "", NOW - 1.0)
             if rng.random() < 0.3:
@@ -67,11 +67,11 @@
                 beginning = rng.choice([self.prompt.beginning, "another"])
                 sent_at = NOW - rng.uniform(0.0, 2.0 * KEPT)
                 self.work.add(item.name, rng.uniform(0.0, 20.0), beginning, sent_at)
-        beliefs = EngineBeliefs(HERE, self.table, self.work)
-        self.found = PromptEngines(beliefs, self.engines, KEPT, NOW)
+        engine_state = EngineState(HERE, self.table, self.work)
+        self.prompt_engines = PromptEngines(engine_state, self.engines, KEPT, NOW)
 
     def times(self, item: Instance) -> tuple[float, float]:
-        """:returns: seconds before an engine can begin, and to read the prompt."""
+        """Return an engine's waiting time and its reading time of the prompt."""
         near = [e.name for e in self.engines if e.hall == HERE]
         everywhere = [e.name for e in self.engines]
         beginning = self.prompt.beginning
@@ -79,32 +79,36 @@
             preferred_endpoint(near, beginning),
             preferred_endpoint(everywhere, beginning),
         )
-        facts = self.table.state_of(item.name)
-        slow = facts.slow_by(NOW)
+        endpoint_state = self.table.state_of(item.name)
+        slow = endpoint_state.slow_by(NOW)
         reading = self.work.reading(item.name, self.prompt, NOW, preferred, KEPT)
-        running = facts.load(NOW) * RUNNING_SECONDS
+        running = endpoint_state.load(NOW) * SECONDS_PER_RUNNING_REQUEST
         return (self.work.wait(item.name, NOW) + running) * slow, reading * slow
 
-    def harm(self, item: Instance) -> float:
-        """:returns: what sending the prompt to an engine counts as."""
-        far = 0.0 if item.hall == HERE else (OTHER_HALL_WAIT * self.aim) ** 2
-        return sum(self.times(item)) ** 2 + far
+    def cost(self, item: Instance) -> float:
+        """Return the cost of sending the prompt to an engine."""
+        other_hall_cost = (
+            0.0 if item.hall == HERE else (OTHER_HALL_WAIT_SHARE * self.objective) ** 2
+        )
+        return sum(self.times(item)) ** 2 + other_hall_cost
 
 
 class PromptEnginesTest(unittest.TestCase):
-    """All engines are weighed at once as each would be by itself."""
+    """All engines together get the same values as each engine alone."""
 
-    def test_the_least_harm(self):
+    def test_best_engine_has_the_lowest_cost(self):
         for seed in range(SEEDS):
             with self.subTest(seed=seed):
-                drawn = Drawn(seed)
-                best = drawn.found.best(drawn.prompt, drawn.aim)
-                self.assertIs(best, min(drawn.engines, key=drawn.harm))
+                fixture = RandomEngines(seed)
+                best = fixture.prompt_engines.best(fixture.prompt, fixture.objective)
+                self.assertIs(best, min(fixture.engines, key=fixture.cost))
 
-    def test_its_forecast(self):
+    def test_forecast_is_for_the_best_engine(self):
         for seed in range(SEEDS):
             with self.subTest(seed=seed):
-                drawn = Drawn(seed)
-                best = drawn.found.best(drawn.prompt, drawn.aim)
-                forecast = drawn.found.forecast(drawn.prompt, drawn.aim)
-                self.assertEqual(forecast, drawn.times(best))
+                fixture = RandomEngines(seed)
+                best = fixture.prompt_engines.best(fixture.prompt, fixture.objective)
+                forecast = fixture.prompt_engines.forecast(
+                    fixture.prompt, fixture.objective
+                )
+                self.assertEqual(forecast, fixture.times(best))
--- /dev/null
+++ b/walnutquay/coordination/routed/admission.py
@@ -0,0 +1,398 @@
+# Licensed under the Apache License 2.0: see LICENSE for details.
+
+"""Slots at the endpoints that the platform lists."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+
+from expression import Error, Ok, Result
+
+from walnutquay.coordination.process.context import Context
+from walnutquay.coordination.requests.slots import Grant, SlotRequest
+from walnutquay.coordination.routed.cold import ColdLimiter
+from walnutquay.coordination.routed.promptengines import EngineState, PromptEngines
+from walnutquay.coordination.routed.reachability import Reachability
+from walnutquay.protocol.messages import WorkNews
+from walnutquay.state.process.ids import (
+    EndpointName,
+    HallName,
+    RegionName,
+    ServiceName,
+    VersionName,
+    WorkKind,
+)
+from walnutquay.state.requests.endpoints import EndpointTable
+from walnutquay.state.requests.refusals import Refusal, RefusalCode
+from walnutquay.state.requests.regions import filter_by_region
+from walnutquay.state.routed.modelchoice import Demand, priority_weight
+from walnutquay.state.routed.traffic import PromptTraffic, SentPrompt
+from walnutquay.state.routed.work import PromptWork, WorkTable, preferred_endpoint
+from walnutquay.state.store.instances import Instance, InstanceBook
+from walnutquay.transport.timers import monotonic
+
+# Retry-After when no endpoint runs: one that starts is listed within a second.
+NO_ENDPOINT_RETRY_SECONDS = 1.0
+# Retry-After when all endpoints are full.
+FULL_RETRY_SECONDS = 0.5
+
+# Returns the versions of a service that may be used, by the newest decision; None for
+# all.
+AllowedVersions = Callable[[ServiceName], frozenset[VersionName] | None]
+
+
+@dataclass(frozen=True, slots=True)
+class PendingPrompt:
+    """A prompt that was sent to an engine and whose answer has not begun.
+
+    :param work: the prompt.
+    :param engine: the engine.
+    :param hall: the engine's data hall.
+    :param wait: the reading time that was known to be queued before it; seconds.
+    :param seconds: its own reading time.
+    :param cached: whether its prefix was assumed to be cached at the engine.
+    :param position: its position in the total reading time assigned to the engine.
+    """
+
+    work: PromptWork
+    engine: EndpointName
+    hall: HallName
+    wait: float
+    seconds: float
+    cached: bool
+    position: float
+
+
+class RoutedAdmission:
+    """Grants slots at endpoints, which have queues of their own.
+
+    :param context: the state shared within this process.
+    :param book: the listed endpoints.
+    :param table: the load and health of the endpoints.
+    :param allowed: returns the versions of a service that may be used.
+    :param cached_tokens_of: returns the number of tokens that an engine of a service
+        caches; 0 if unknown.
+    :param vm_count: returns the number of entry VMs.
+    :param cold: limits the requests that cold endpoints receive.
+    :param region_of: the region of each data hall.
+    """
+
+    def __init__(
+        self,
+        context: Context,
+        book: InstanceBook,
+        table: EndpointTable,
+        allowed: AllowedVersions,
+        cached_tokens_of: Callable[[ServiceName], int],
+        vm_count: Callable[[], int],
+        cold: ColdLimiter,
+        region_of: Mapping[HallName, RegionName],
+    ) -> None:
+        self.context = context
+        self.book = book
+        self.table = table
+        self.allowed = allowed
+        self.work = WorkTable()
+        self.cached_tokens_of = cached_tokens_of
+        self.vm_count = vm_count
+        self.cold = cold
+        self.region_of = region_of
+        self.reachability = Reachability(context, book)
+        self.engine_state = EngineState(context.hall, table, self.work)
+        # The prompts that this VM has sent recently, by service.
+        self.traffic: dict[ServiceName, PromptTraffic] = {}
+        # Prompts whose answers have not begun, by the id of the grant.
+        self.pending_prompts: dict[int, PendingPrompt] = {}
+        # Called with each prompt that is sent.
+        self.listeners: list[Callable[[PendingPrompt], None]] = []
+
+    def candidates(self, service: ServiceName, version: str = "") -> list[Instance]:
+        """Return the endpoints of a service that may be used now.
+
+        :param service: the service.
+        :param version: the only version to use; empty for all allowed versions.
+        """
+        if version:
+            return self.book.of_service(service, VersionName(version))
+        allowed = self.allowed(service)
+        found = self.book.of_service(service)
+        if allowed is None:
+            return found
+        return [item for item in found if item.version in allowed]
+
+    async def acquire(self, need: SlotRequest) -> Result[Grant, Refusal]:
+        """Choose an endpoint for a request and take a slot there.
+
+        :param need: the slot that is requested.
+        :returns: the slot, or the reason why none is available.
+        """
+        service = ServiceName(need.target)
+        if not self._untried_candidates(need):
+            return Error(
+                Refusal(
+                    RefusalCode.NO_ENDPOINT,
+                    f"no endpoint of {service} can be asked now",
+                    NO_ENDPOINT_RETRY_SECONDS,
+                )
+            )
+        remaining = await self.cold.wait_for(
+            lambda: self._untried_candidates(need), need
+        )
+        if not remaining:
+            return Error(
+                Refusal(
+                    RefusalCode.NO_ENDPOINT,
+                    f"the endpoints of {service} are cold, and have what they may get",
+                    self.cold.retry_after(),
+                )
+            )
+        now = monotonic()
+        remaining = self.reachability.exclude_unreachable(remaining)
+        if need.suspect:
+            chosen = self._choose_for_suspect(remaining, need, now)
+        elif need.work is not None:
+            chosen = self._choose_engine(remaining, need, need.work, now)
+        else:
+            chosen = self.table.choose(remaining, now, need.hint, need.tried)
+        if chosen is None:
+            chosen = self._least_loaded(remaining, now)
+        if chosen is None:
+            return Error(
+                Refusal(
+                    RefusalCode.QUEUE_FULL,
+                    f"the endpoints of {service} are full",
+                    FULL_RETRY_SECONDS,
+                )
+            )
+        self.cold.record_send(chosen, now)
+        self.table.state_of(chosen.name).in_flight += 1
+        if need.work is None:
+            return Ok(Grant(chosen, now, WorkKind.QUICK))
+        return Ok(self._record_prompt(Grant(chosen, now, WorkKind.PATIENT), need))
+
+    def _untried_candidates(self, need: SlotRequest) -> list[Instance]:
+        """Return the endpoints that could serve a request and have not failed it."""
+        candidates = self.candidates(ServiceName(need.target), need.version)
+        allowed = filter_by_region(candidates, need.regions, self.region_of)
+        return [item for item in allowed if item.name not in need.tried]
+
+    def mark_unreachable(self, grant: Grant, silent: bool) -> None:
+        """Avoid an endpoint that cannot be connected to until it accepts connections.
+
+        :param grant: a slot at the endpoint.
+        :param silent: whether there was no response at all.
+        """
+        endpoint = grant.endpoint
+        assert isinstance(endpoint, Instance)
+        self.reachability.mark_unreachable(endpoint, silent)
+
+    async def check_reachable(self, grant: Grant) -> bool:
+        """Check whether a silent endpoint still accepts connections.
+
+        :param grant: a slot at the endpoint.
+        """
+        endpoint = grant.endpoint
+        assert isinstance(endpoint, Instance)
+        return await self.reachability.check_reachable(endpoint)
+
+    def _record_prompt(self, grant: Grant, need: SlotRequest) -> Grant:
+        """Record that a prompt is sent to an engine, and notify the listeners."""
+        assert need.work is not None
+        work, now = need.work, grant.started
+        service = ServiceName(need.target)
+        kept = self.kept_seconds(service, now)
+        wait = self.work.wait(grant.name, now)
+        seconds = self.work.reading(grant.name, work, now, False, kept)
+        cached = self.work.has_cached(grant.name, work.beginning, now, kept)
+        position = self.work.add(grant.name, seconds, work.beginning, now)
+        name = EndpointName(grant.name)
+        assert isinstance(grant.endpoint, Instance)
+        hall = grant.endpoint.hall
+        pending = PendingPrompt(work, name, hall, wait, seconds, cached, position)
+        self.pending_prompts[id(grant)] = pending
+        weight = priority_weight(need.priority)
+        self._traffic_of(service).add(SentPrompt(now, work.tokens, seconds, weight))
+        for listener in self.listeners:
+            listener(pending)
+        return grant
+
+    def _traffic_of(self, service: ServiceName) -> PromptTraffic:
+        return self.traffic.setdefault(service, PromptTraffic())
+
+    def kept_seconds(self, service: ServiceName, now: float) -> float:
+        """Return how long the engines of a service keep a prompt cached.
+
+        :param service: the service.
+        :param now: monotonic seconds.
+        """
+        engines = len(self.candidates(service))
+        traffic = self._traffic_of(service)
+        return traffic.kept_seconds(
+            now, self.vm_count(), engines, self.cached_tokens_of(service)
+        )
+
+    def demand(self, service: ServiceName) -> Demand:
+        """Return the current reading load of a service's engines.
+
+        :param service: the service.
+        """
+        engines = len(self.candidates(service))
+        return self._traffic_of(service).demand(monotonic(), self.vm_count(), engines)
+
+    def engines_for(
+        self, service: ServiceName, regions: frozenset[RegionName] | None = None
+    ) -> PromptEngines | None:
+        """Return the engines that a prompt could be sent to now, for a forecast.
+
+        :param service: the service.
+        :param regions: the regions in which the prompt may run; None for all.
+        :returns: the engines; None if no endpoint may be sent the prompt now.
+        """
+        now = monotonic()
+        allowed = filter_by_region(self.candidates(service), regions, self.region_of)
+        remaining = self.reachability.exclude_unreachable(
+            self.cold.available(allowed, now)
+        )
+        open_ones = self.table.accepting(remaining, now, frozenset()) or remaining
+        return self._engines(open_ones, service, now) if open_ones else None
+
+    def reading_seconds_of(self, grant: Grant) -> float | None:
+        """Return the reading time of the prompt that was sent with a grant.
+
+        :param grant: the slot.
+        :returns: seconds; None if no prompt is pending there.
+        """
+        pending = self.pending_prompts.get(id(grant))
+        return None if pending is None else pending.seconds
+
+    def apply_peer_prompt(self, update: WorkNews) -> None:
+        """Apply an update about a prompt that another VM has sent.
+
+        :param update: the other VM's message.
+        """
+        self.work.apply_peer_rate(update.model, update.rate)
+        name = EndpointName(update.endpoint)
+        if name in self.book.known:
+            self.work.add(name, update.seconds, update.beginning, monotonic())
+
+    def expected_answer_seconds(self, grant: Grant) -> float:
+        """Estimate the time until the answer begins.
+
+        :param grant: the slot.
+        :returns: seconds; 0 if unknown.
+        """
+        pending = self.pending_prompts.get(id(grant))
+        if pending is None:
+            return 0.0
+        return pending.wait + pending.work.tokens * self.work.rate(pending.work.model)
+
+    def answer_began(self, grant: Grant, seconds: float) -> None:
+        """Update the reading estimates when an answer begins.
+
+        :param grant: the slot.
+        :param seconds: the time since the request was sent.
+        """
+        pending = self.pending_prompts.pop(id(grant), None)
+        if pending is None:
+            return
+        # Engines read shorter prompts before longer ones, so only the longest pending
+        # prompt proves that nothing ahead of it is left.
+        others = [
+            other
+            for other in self.pending_prompts.values()
+            if other.engine == grant.name
+        ]
+        if all(other.seconds <= pending.seconds for other in others):
+            self.work.record_read(pending.engine, pending.position, monotonic())
+        if pending.wait <= 0 and not pending.cached:
+            self.work.learn(pending.work.model, pending.work.tokens, seconds)
+
+    def _choose_engine(
+        self, remaining: list[Instance], need: SlotRequest, work: PromptWork, now: float
+    ) -> Instance | None:
+        """Choose the engine that is likely to finish reading a prompt first."""
+        open_ones = self.table.accepting(remaining, now, need.tried)
+        if not open_ones:
+            return None
+        service = ServiceName(need.target)
+        return self._engines(open_ones, service, now).best(work, need.aim)
+
+    def _engines(
+        self, engines: list[Instance], service: ServiceName, now: float
+    ) -> PromptEngines:
+        kept = self.kept_seconds(service, now)
+        return PromptEngines(self.engine_state, engines, kept, now)
+
+    def _choose_for_suspect(
+        self, remaining: list[Instance], need: SlotRequest, now: float
+    ) -> Instance | None:
+        """Choose the endpoint for a request that may have crashed one.
+
+        All VMs choose the same endpoint, so all attempts of the request run there,
+        while requests that ran beside it are spread over the others.  One more crash
+        then clears most of these, and no two endpoints crash at the same time.
+        """
+        open_ones = self.table.accepting(remaining, now, need.tried) or remaining
+        name = preferred_endpoint([item.name for item in open_ones], need.suspect)
+        return next((item for item in open_ones if item.name == name), None)
+
+    def _least_loaded(self, remaining: list[Instance], now: float) -> Instance | None:
+        """Return the least loaded endpoint, except those that have just refused."""
+        open_ones = [
+            item
+            for item in remaining
+            if self.table.state_of(item.name).full_until <= now
+        ]
+        if not open_ones:
+            return None
+        return min(
+            open_ones,
+            key=lambda item: self.table.state_of(item.name).load(now) / item.slots,
+        )
+
+    def on_instance(self, name: EndpointName, instance: Instance | None) -> None:
+        """Discard the state of an endpoint's start that is gone.
+
+        :param name: the endpoint.
+        :param instance: its entry; None if it has none, or if the entry of a later
+            start is about to follow.
+        """
+        self.cold.on_instance(name, instance)
+        if instance is not None:
+            return
+        self.table.forget(name)
+        self.work.forget(name)
+        self.reachability.forget(name)
+        for number, pending in list(self.pending_prompts.items()):
+            if pending.engine == name:
+                del self.pending_prompts[number]
+        # Results of its last requests may have been recorded after it was removed.
+        known = set(self.book.known) | {name}
+        self.table.forget_except(known)
+        self.work.forget_except(known)
+
+    def close(self) -> None:
+        """Stop all probes."""
+        self.reachability.close()
+
+    def release(self, grant: Grant) -> None:
+        """Release a slot.
+
+        :param grant: the slot.
+        """
+        self.pending_prompts.pop(id(grant), None)
+        endpoint = grant.endpoint
+        assert isinstance(endpoint, Instance)
+        current = self.book.known.get(endpoint.name)
+        # Slots of an earlier start no longer count.
+        if current is not None and current.is_same_start(endpoint):
+            facts = self.table.state_of(grant.name)
+            facts.in_flight = max(0, facts.in_flight - 1)
+
+    def full(self, grant: Grant) -> None:
+        """Record that an endpoint refused a request although a slot was granted.
+
+        :param grant: the slot.
+        """
+        self.table.full(grant.name, monotonic())
--- a/walnutquay/daemon/metricsapi.py
+++ b/walnutquay/daemon/metricsapi.py
@@ -106,7 +106,7 @@
         yield from self._endpoints()
         yield from self._emptied()
         yield from self._crashes()
-        for service, budget in self.path.budgets.known.items():
+        for service, budget in self.path.budgets.by_service.items():
             yield f'{PREFIX}_retries_left{{service="{service}"}} {budget.left:.1f}'
         for service, task in self.versions.tasks.items():
             label = f'service="{service}",version="{task.trial.order.version}"'
@@ -127,7 +127,7 @@
         for arrival in self.path.under_way.values():
             assert isinstance(arrival, RoutedArrival)
             key = (arrival.organisation.name, arrival.route.name)
-            ages.setdefault(key, []).append(now - arrival.came)
+            ages.setdefault(key, []).append(now - arrival.arrived_at)
         for (organisation, route), waiting in sorted(ages.items()):
             label = f'organisation="{escaped(organisation)}",route="{escaped(route)}"'
             yield f"{PREFIX}_requests_waiting{{{label}}} {len(waiting)}"
@@ -163,7 +163,7 @@
                 state = "emptied"
             elif facts.ejected_until > now:
                 state = "ejected"
-            elif self.path.places.cold.is_bound(item, now):
+            elif self.path.admission.cold.is_limited(item, now):
                 state = "cold"
             else:
                 state = "ready"
