--- a/walnutquay/coordination/own/leases.py
+++ b/walnutquay/coordination/own/leases.py
@@ -66,14 +66,14 @@
     async def keep(self) -> None:
         """Renew the lease, or take it if it is this VM's turn and free."""
         asked_at = monotonic()
-        if not self.view.held(asked_at) and not self._is_near():
+        if not self.view.is_held(asked_at) and not self._is_near():
             # Were all VMs to look, the looking alone would fill the platform.
             return
         try:
-            if not self.view.held(asked_at):
+            if not self.view.is_held(asked_at):
                 await self._look()
                 asked_at = monotonic()
-            if self.view.held(asked_at) or self._is_next(asked_at):
+            if self.view.is_held(asked_at) or self._is_next(asked_at):
                 await self._take(asked_at)
         except PlatformError as error:
             # It may have been renewed all the same; the time that is known
@@ -95,7 +95,7 @@
         return ranked[0] == self.context.vm and self.view.may_acquire(now)
 
     async def _take(self, asked_at: float) -> None:
-        held = self.view.held(asked_at)
+        held = self.view.is_held(asked_at)
         if self.view.version < 0:
             await self._look()
         self.value = replace(self.value, writes=self.value.writes + 1)
@@ -110,10 +110,10 @@
 
     async def give_back(self) -> None:
         """Let another VM take the lease at once, as at a planned stop."""
-        if not self.view.held(monotonic()):
+        if not self.view.is_held(monotonic()):
             return
         version = self.view.version
-        self.view.lost()
+        self.view.mark_lost()
         nobody = LeaseValue(NOBODY, Incarnation(""), self.value.seconds)
         try:
             await self.platform.write(self.name, nobody.encode(), version)
--- a/walnutquay/coordination/own/quality.py
+++ b/walnutquay/coordination/own/quality.py
@@ -155,4 +155,6 @@
         # A class is named by callers and may have the separator in it.
         _, cascade, rest = subject.split(SEPARATOR, 2)
         request_class, version = rest.rsplit(SEPARATOR, 1)
-        self.learner.take(QualityKey(cascade, request_class, version), good, bad)
+        self.learner.record_ratings(
+            QualityKey(cascade, request_class, version), good, bad
+        )
