--- a/tests/coordination/routed/test_silence.py
+++ b/tests/coordination/routed/test_silence.py
@@ -73,7 +73,7 @@
 
     async def test_waiting_requests_share_one_check(self):
         reachability = self.gateway.path.admission.reachability
-        endpoint = self.gateway.knowledge.instances.book.known["e1"]
+        endpoint = self.gateway.knowledge.instances.registry.known["e1"]
         before = self.endpoints["e1"].connections
         checks = [reachability.check_reachable(endpoint) for _ in range(9)]
         self.assertTrue(all(await asyncio.gather(*checks)))
--- a/tests/coordination/trials/test_session_versions.py
+++ b/tests/coordination/trials/test_session_versions.py
@@ -83,7 +83,7 @@
 
     def knows_trial(self, gateway: GatewayDaemon) -> bool:
         """Return whether a gateway knows the order and the new engine."""
-        known = gateway.knowledge.instances.book.known
+        known = gateway.knowledge.instances.registry.known
         return "n1" in known and "engine" in gateway.versions.tasks
 
     async def version_for(self, name: str, gateway: GatewayDaemon) -> str:
@@ -175,7 +175,7 @@
     async def test_a_vm_that_has_served_no_request(self):
         worker = await self.add_worker("n1", "engine", version="v2")
         worker.default = Behaviour(events=2)
-        known = self.gateway.knowledge.instances.book.known
+        known = self.gateway.knowledge.instances.registry.known
         await self.until(lambda: "n1" in known)
         versions = [
             await self.version_for(name, self.gateway)
--- a/walnutquay/coordination/routed/admission.py
+++ b/walnutquay/coordination/routed/admission.py
@@ -29,7 +29,7 @@
 from walnutquay.state.routed.modelchoice import Demand, priority_weight
 from walnutquay.state.routed.traffic import PromptTraffic, SentPrompt
 from walnutquay.state.routed.work import PromptWork, WorkTable, preferred_endpoint
-from walnutquay.state.store.instances import Instance, InstanceBook
+from walnutquay.state.store.instances import Instance, InstanceRegistry
 from walnutquay.transport.timers import monotonic
 
 # Retry-After when no endpoint runs: one that starts is listed within a second.
@@ -68,7 +68,7 @@
     """Grants slots at endpoints, which have queues of their own.
 
     :param context: the state shared within this process.
-    :param book: the listed endpoints.
+    :param registry: the listed endpoints.
     :param table: the load and health of the endpoints.
     :param allowed: returns the versions of a service that may be used.
     :param cached_tokens_of: returns the number of tokens that an engine of a service
@@ -81,7 +81,7 @@
     def __init__(
         self,
         context: Context,
-        book: InstanceBook,
+        registry: InstanceRegistry,
         table: EndpointTable,
         allowed: AllowedVersions,
         cached_tokens_of: Callable[[ServiceName], int],
@@ -90,7 +90,7 @@
         region_of: Mapping[HallName, RegionName],
     ) -> None:
         self.context = context
-        self.book = book
+        self.registry = registry
         self.table = table
         self.allowed = allowed
         self.work = WorkTable()
@@ -98,7 +98,7 @@
         self.vm_count = vm_count
         self.cold = cold
         self.region_of = region_of
-        self.reachability = Reachability(context, book)
+        self.reachability = Reachability(context, registry)
         self.engine_state = EngineState(context.hall, table, self.work)
         # The prompts that this VM has sent recently, by service.
         self.traffic: dict[ServiceName, PromptTraffic] = {}
@@ -114,9 +114,9 @@
         :param version: the only version to use; empty for all allowed versions.
         """
         if version:
-            return self.book.of_service(service, VersionName(version))
+            return self.registry.usable_instances(service, VersionName(version))
         allowed = self.allowed(service)
-        found = self.book.of_service(service)
+        found = self.registry.usable_instances(service)
         if allowed is None:
             return found
         return [item for item in found if item.version in allowed]
@@ -273,7 +273,7 @@
         """
         self.work.apply_peer_rate(update.model, update.rate)
         name = EndpointName(update.endpoint)
-        if name in self.book.known:
+        if name in self.registry.known:
             self.work.add(name, update.seconds, update.beginning, monotonic())
 
     def expected_answer_seconds(self, grant: Grant) -> float:
@@ -368,7 +368,7 @@
             if pending.engine == name:
                 del self.pending_prompts[number]
         # Results of its last requests may have been recorded after it was removed.
-        known = set(self.book.known) | {name}
+        known = set(self.registry.known) | {name}
         self.table.forget_except(known)
         self.work.forget_except(known)
 
@@ -384,7 +384,7 @@
         self.pending_prompts.pop(id(grant), None)
         endpoint = grant.endpoint
         assert isinstance(endpoint, Instance)
-        current = self.book.known.get(endpoint.name)
+        current = self.registry.known.get(endpoint.name)
         # Slots of an earlier start no longer count.
         if current is not None and current.is_same_start(endpoint):
             facts = self.table.state_of(grant.name)
--- a/walnutquay/coordination/routed/cold.py
+++ b/walnutquay/coordination/routed/cold.py
@@ -24,7 +24,7 @@
     sender_quota,
 )
 from walnutquay.state.store.catalogue import RoutedService
-from walnutquay.state.store.instances import Instance, InstanceBook
+from walnutquay.state.store.instances import Instance, InstanceRegistry
 from walnutquay.transport.timers import monotonic
 
 MILLISECONDS = 1000.0
@@ -52,7 +52,7 @@
     """Decides which endpoints this VM may send requests to while some are cold.
 
     :param context: the state shared within this process.
-    :param book: the listed endpoints.
+    :param registry: the listed endpoints.
     :param service_of: returns the configuration of a service; None if unknown.
     :param peers: the other VMs.
     :param cold_over: the multiple of a cold endpoint's rate that operators allow in a
@@ -63,14 +63,14 @@
     def __init__(
         self,
         context: Context,
-        book: InstanceBook,
+        registry: InstanceRegistry,
         service_of: Callable[[ServiceName], RoutedService | None],
         peers: Peers,
         cold_over: float,
         cold_extra: float,
     ) -> None:
         self.context = context
-        self.book = book
+        self.registry = registry
         self.service_of = service_of
         self.peers = peers
         self.cold_over = cold_over
@@ -110,7 +110,7 @@
 
         :param hall: the data hall.
         """
-        for instance in self.book.known.values():
+        for instance in self.registry.known.values():
             service = self.service_of(instance.service)
             if instance.hall == hall and service is not None:
                 self._set_cold(instance, service.cold_seconds, "its hall was emptied")
--- a/walnutquay/coordination/routed/path.py
+++ b/walnutquay/coordination/routed/path.py
@@ -216,7 +216,7 @@
         :param grant: a slot at the endpoint.
         """
         assert isinstance(grant.endpoint, Instance)
-        return self.admission.book.is_current(grant.endpoint)
+        return self.admission.registry.is_current(grant.endpoint)
 
     def on_crashed(self, turn: RoutedTurn, grant: Grant) -> None:
         """Allow another attempt although the route's attempts may be used up.
--- a/walnutquay/coordination/routed/reachability.py
+++ b/walnutquay/coordination/routed/reachability.py
@@ -11,7 +11,7 @@
 from walnutquay.coordination.process.tasks import Tasks
 from walnutquay.state.process.events import EventKind
 from walnutquay.state.process.ids import EndpointName, HallName
-from walnutquay.state.store.instances import Instance, InstanceBook
+from walnutquay.state.store.instances import Instance, InstanceRegistry
 from walnutquay.transport.client import is_reachable
 from walnutquay.transport.timers import monotonic
 
@@ -36,12 +36,12 @@
     """Tracks unreachable endpoints and probes them until they accept connections.
 
     :param context: the state shared within this process.
-    :param book: the listed endpoints.
+    :param registry: the listed endpoints.
     """
 
-    def __init__(self, context: Context, book: InstanceBook) -> None:
+    def __init__(self, context: Context, registry: InstanceRegistry) -> None:
         self.context = context
-        self.book = book
+        self.registry = registry
         # Endpoints whose last connection attempt failed.
         self.unreachable: dict[EndpointName, UnreachableEndpoint] = {}
         self.probes = Tasks()
@@ -96,7 +96,7 @@
 
         :param endpoint: the endpoint; if the check fails, it is avoided from now on.
         """
-        if endpoint.name in self.unreachable or not self.book.is_current(endpoint):
+        if endpoint.name in self.unreachable or not self.registry.is_current(endpoint):
             return False
         check = self.checks.get(endpoint.name)
         if check is None:
--- a/walnutquay/coordination/trials/answers.py
+++ b/walnutquay/coordination/trials/answers.py
@@ -60,7 +60,7 @@
         """
         started = unix_seconds() - (monotonic() - trial.started)
         updated = replace(trial.order, state=state, started=started)
-        self.orders.take(await self.order_store.answer(updated, state))
+        self.orders.apply(await self.order_store.answer(updated, state))
 
     async def reread(self, order: RolloutOrder) -> None:
         """Read an order again, and apply its current version.
@@ -73,7 +73,7 @@
             log.warn("could not read order {} again: {}", order.name, error)
             return
         if current is not None:
-            self.orders.take(current)
+            self.orders.apply(current)
 
 
 def unix_seconds() -> float:
--- a/walnutquay/coordination/trials/versions.py
+++ b/walnutquay/coordination/trials/versions.py
@@ -181,7 +181,7 @@
         # never show that the store does not respond.
         if self.announced_orders.get((report.order, report.version)) is None:
             self.announced_orders.touch((report.order, report.version))
-            self.knowledge.order_follower.nudge()
+            self.knowledge.order_follower.query_now()
 
     def _end_trial(self, order: RolloutOrder, task: TrialTask | None) -> None:
         if task is not None:
@@ -195,7 +195,7 @@
         :returns: the versions that the requests may use; None for all.
         """
         instances = self.knowledge.instances
-        running = instances.book.versions_of(service)
+        running = instances.registry.versions_of(service)
         first = instances.first_versions.get(service, running)
         trial = self.trial_of(service)
         on_trial = trial.order.version if trial is not None else None
@@ -236,8 +236,8 @@
         trial = task.trial
         if not trial.open and not task.catching_up:
             order = trial.order
-            book = self.knowledge.instances.book
-            since = book.version_since(order.service, order.version)
+            registry = self.knowledge.instances.registry
+            since = registry.version_first_seen(order.service, order.version)
             known = since is not None and now >= since + ENDPOINT_SPREAD_SECONDS
             trial.open = known and now >= trial.opens_at
         return trial.open
@@ -257,7 +257,7 @@
         if trial.rejected:
             return False, ChoiceReason.BRAKED
         version = trial.order.version
-        if version not in self.knowledge.instances.book.versions_of(turn.service):
+        if version not in self.knowledge.instances.registry.versions_of(turn.service):
             return False, ChoiceReason.NONE_RUNS
         on_new = session_record is not None and session_record.version == version
         seen_on_new = (
