--- a/lab/capacity/costvm.py
+++ b/lab/capacity/costvm.py
@@ -190,7 +190,7 @@
     def _make_places(self) -> RoutedPlaces:
         cold = ColdGate(
             self.context,
-            self.sink.book,
+            self.sink.registry,
             {SERVICE: self.service}.get,
             self.peers,
             1.0,
@@ -198,7 +198,7 @@
         )
         return RoutedPlaces(
             self.context,
-            self.sink.book,
+            self.sink.registry,
             self.table,
             self.versions.allowed,
             lambda name: MEMORY_TOKENS,
@@ -250,7 +250,7 @@
         """Bring a version in, and give it a quarter of the engines."""
         order = RolloutOrder("o", 1, SERVICE, NEW, TRIAL_SECONDS, OrderState.NEW)
         self.versions.on_order(order)
-        for instance in list(self.sink.book.of_service(SERVICE))[::4]:
+        for instance in list(self.sink.registry.usable_instances(SERVICE))[::4]:
             moved = Instance(
                 EndpointName(f"{instance.name}-new"),
                 SERVICE,
--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -233,7 +233,7 @@
     Mutation(
         "suspended: what is known is confirmed before the next request",
         "daemon/gatewayapi.py",
-        "await self.knowledge.settled()",
+        "await self.knowledge.wait_confirmed()",
         "pass",
         "tests.coordination.requests.test_suspended.KnowledgeTest",
     ),
--- a/lab/pages/pictures.py
+++ b/lab/pages/pictures.py
@@ -77,7 +77,7 @@
         Step(0, 1, "PUT config/main"),
         Step(1, 0, "acknowledged", answer=True),
         Step(1, 2, "the change", answer=True),
-        Step(2, 3, "take_changes()"),
+        Step(2, 3, "apply_changes()"),
         Step(3, 3, "newer: in force, listeners", note=True),
         Step(2, 4, "changed"),
         Step(4, 5, "ChangesAre: as stored", answer=True),
--- a/lab/trials/fleet.py
+++ b/lab/trials/fleet.py
@@ -40,7 +40,7 @@
     VersionName,
     VmName,
 )
-from walnutquay.state.store.instances import Instance, InstanceBook
+from walnutquay.state.store.instances import Instance, InstanceRegistry
 from walnutquay.state.store.orders import OrderState, RolloutOrder
 
 SERVICE = ServiceName("engine")
@@ -168,13 +168,13 @@
     # VMs.
 
     def _start(self, name: VmName) -> Vm:
-        book = InstanceBook(2.0)
+        registry = InstanceRegistry(2.0)
         orders = SimpleNamespace(listeners=[], orders={}, listed=True)
         knowledge = SimpleNamespace(
             orders=orders,
-            instances=SimpleNamespace(book=book),
+            instances=SimpleNamespace(registry=registry),
             conditions=[],
-            order_follower=SimpleNamespace(nudge=lambda: self._learn(vm)),
+            order_follower=SimpleNamespace(query_now=lambda: self._learn(vm)),
         )
         timeline = Timeline(name, 1)
         rng = random.Random(self.rng.random())
@@ -182,11 +182,11 @@
         context = Context(name, hall, new_incarnation(), timeline, rng=rng)
         peers = SimulatedPeers(self, name)
         order_store = SimulatedOrders(self)
-        knowledge.orders.take = lambda order: self._take(vm, order)
+        knowledge.orders.apply = lambda order: self._take(vm, order)
         trials = VersionTrials(
             context, knowledge, order_store, peers, PromisesSection()
         )
-        vm = Vm(name, trials, book, orders, hall)
+        vm = Vm(name, trials, registry, orders, hall)
         self._list(vm, OLD)
         return vm
 
@@ -194,7 +194,7 @@
         for number in range(ENDPOINTS):
             endpoint = EndpointName(f"i-{version}-{number}")
             hall = HallName("hall-a")
-            vm.book.put(
+            vm.registry.put(
                 Instance(endpoint, SERVICE, "http://x", hall, version, 8), self.now
             )
 
--- a/lab/trials/records.py
+++ b/lab/trials/records.py
@@ -9,7 +9,7 @@
 
 from walnutquay.coordination.trials.versions import VersionTrials
 from walnutquay.state.process.ids import HallName, VersionName, VmName
-from walnutquay.state.store.instances import InstanceBook
+from walnutquay.state.store.instances import InstanceRegistry
 
 
 @dataclass
@@ -61,7 +61,7 @@
 
     :param name: its name.
     :param trials: its own code.
-    :param book: the endpoints that it knows.
+    :param registry: the endpoints that it knows.
     :param orders: the orders that it knows.
     :param hall: its data hall.
     :param up: whether it takes requests.
@@ -69,7 +69,7 @@
 
     name: VmName
     trials: VersionTrials
-    book: InstanceBook
+    registry: InstanceRegistry
     orders: SimpleNamespace
     hall: HallName
     up: bool = True
--- a/tests/coordination/requests/test_crashes.py
+++ b/tests/coordination/requests/test_crashes.py
@@ -278,9 +278,9 @@
             worker.default = behaviour
         for name in names:
             await self.store.remove("servers", name)
-        book = self.gateway.knowledge.instances.book
+        registry = self.gateway.knowledge.instances.registry
         await self.until(
-            lambda: {item.version for item in book.known.values()} == {"v2"}
+            lambda: {item.version for item in registry.known.values()} == {"v2"}
         )
 
     async def test_one_that_answers_it(self):
@@ -331,8 +331,8 @@
         address = f"127.0.0.1:{self.links[name].port}"
         spec = worker.spec("engine", address=address, born=born)
         await self.store.put("servers", name, spec)
-        book = self.gateway.knowledge.instances.book
-        await self.until(lambda: book.known[name].born == born)
+        registry = self.gateway.knowledge.instances.registry
+        await self.until(lambda: registry.known[name].born == born)
 
     async def start_again(self) -> None:
         """Start the engines again that have ended."""
--- a/tests/coordination/requests/test_regions.py
+++ b/tests/coordination/requests/test_regions.py
@@ -75,8 +75,8 @@
 
     async def test_where_none_is_left(self):
         await self.store.remove("servers", "p2")
-        book = self.gateway.knowledge.instances.book
-        await self.until(lambda: "p2" not in book.known)
+        registry = self.gateway.knowledge.instances.registry
+        await self.until(lambda: "p2" not in registry.known)
         self.assertEqual((await self.call("/safe/x")).status, 503)
         self.assertEqual(self.runs("p1"), 0)
 
--- a/tests/coordination/routed/test_cold.py
+++ b/tests/coordination/routed/test_cold.py
@@ -225,8 +225,8 @@
         gate = self.gateway.path.places.cold.endpoints
         until = gate.states[E1].until
         await self.write("e1", coldLeftMs=COLD_MS, slots=9)
-        book = self.gateway.knowledge.instances.book
-        await self.until(lambda: book.known[E1].slots == 9)
+        registry = self.gateway.knowledge.instances.registry
+        await self.until(lambda: registry.known[E1].slots == 9)
         self.assertEqual(gate.states[E1].until, until)
 
     async def test_it_is_logged(self):
--- a/tests/coordination/routed/test_routed.py
+++ b/tests/coordination/routed/test_routed.py
@@ -67,8 +67,8 @@
 
     async def test_the_endpoints_own_answer_returns_where_no_other_is_left(self):
         await self.store.remove("servers", "p2")
-        book = self.gateway.knowledge.instances.book
-        await self.until(lambda: "p2" not in book.known)
+        registry = self.gateway.knowledge.instances.registry
+        await self.until(lambda: "p2" not in registry.known)
         self.endpoints["p1"].default = Behaviour(status=500, body=b"mine")
         answer = await self.call("/safe/x")
         self.assertEqual((answer.status, answer.body), (500, b"mine"))
--- a/tests/coordination/routed/test_silence.py
+++ b/tests/coordination/routed/test_silence.py
@@ -73,7 +73,7 @@
 
     async def test_requests_that_wait_share_one_try(self):
         reach = self.gateway.path.places.reach
-        endpoint = self.gateway.knowledge.instances.book.known["e1"]
+        endpoint = self.gateway.knowledge.instances.registry.known["e1"]
         before = self.endpoints["e1"].connections
         tries = [reach.still_there(endpoint) for _ in range(9)]
         self.assertTrue(all(await asyncio.gather(*tries)))
--- a/tests/coordination/store/test_emptied.py
+++ b/tests/coordination/store/test_emptied.py
@@ -159,7 +159,7 @@
         await self.empty("hall-a")
         follower = self.gateway.knowledge.hall_follower
         self.store.refuse = 503
-        follower.nudge()
+        follower.query_now()
         await self.until(lambda: follower.failing_since is not None)
         await self.store.remove("evacuations", "hall-a")
         self.assertIn("hall-a", self.gateway.knowledge.halls.emptied)
--- a/tests/coordination/store/test_knowledge.py
+++ b/tests/coordination/store/test_knowledge.py
@@ -14,7 +14,7 @@
     ServiceName,
     VersionName,
 )
-from walnutquay.state.store.instances import Instance, InstanceBook
+from walnutquay.state.store.instances import Instance, InstanceRegistry
 
 
 def instance(name: str, leaving: bool = False) -> Instance:
@@ -34,38 +34,38 @@
     """Entries that come, change, lapse and go."""
 
     def setUp(self) -> None:
-        self.book = InstanceBook(2.0)
-        self.book.replace_all([instance("a"), instance("b")], 0.0)
+        self.registry = InstanceRegistry(2.0)
+        self.registry.replace_all([instance("a"), instance("b")], 0.0)
 
     def names(self) -> set[str]:
         """:returns: the instances that may be used."""
-        return {item.name for item in self.book.of_service(ServiceName("s"))}
+        return {item.name for item in self.registry.usable_instances(ServiceName("s"))}
 
     def test_a_deletion_counts_at_once(self):
-        self.assertTrue(self.book.remove(EndpointName("a"), 1.0))
+        self.assertTrue(self.registry.remove(EndpointName("a"), 1.0))
         self.assertEqual(self.names(), {"b"})
 
     def test_after_an_outage_it_is_doubted_for_a_while(self):
-        self.book.doubt_deletions(10.0)
-        self.assertFalse(self.book.remove(EndpointName("a"), 10.5))
-        self.assertEqual(self.book.drop_overdue(11.9), [])
+        self.registry.doubt_deletions(10.0)
+        self.assertFalse(self.registry.remove(EndpointName("a"), 10.5))
+        self.assertEqual(self.registry.drop_overdue(11.9), [])
         self.assertEqual(self.names(), {"a", "b"})
-        self.assertEqual(self.book.drop_overdue(12.0), ["a"])
+        self.assertEqual(self.registry.drop_overdue(12.0), ["a"])
         self.assertEqual(self.names(), {"b"})
 
     def test_an_entry_that_comes_back_stays(self):
-        self.book.doubt_deletions(10.0)
-        self.book.replace_all([instance("b")], 10.5)
-        self.book.put(instance("a"), 11.0)
-        self.assertEqual(self.book.drop_overdue(13.0), [])
+        self.registry.doubt_deletions(10.0)
+        self.registry.replace_all([instance("b")], 10.5)
+        self.registry.put(instance("a"), 11.0)
+        self.assertEqual(self.registry.drop_overdue(13.0), [])
         self.assertEqual(self.names(), {"a", "b"})
 
     def test_an_announced_end_is_never_taken_back(self):
-        self.book.put(instance("a", leaving=True), 1.0)
-        self.book.put(instance("a"), 2.0)
+        self.registry.put(instance("a", leaving=True), 1.0)
+        self.registry.put(instance("a"), 2.0)
         self.assertEqual(self.names(), {"b"})
-        self.book.doubt_deletions(3.0)
-        self.assertTrue(self.book.remove(EndpointName("a"), 3.1))
+        self.registry.doubt_deletions(3.0)
+        self.assertTrue(self.registry.remove(EndpointName("a"), 3.1))
 
 
 class SilenceTest(GatewayCase):
@@ -80,13 +80,13 @@
 
     async def test_history_that_is_gone_is_listed_again(self):
         await self.store.put("servers", "p9", self.endpoints["p1"].spec("plain"))
-        book = self.gateway.knowledge.instances.book
-        await self.until(lambda: "p9" in book.known)
+        registry = self.gateway.knowledge.instances.registry
+        await self.until(lambda: "p9" in registry.known)
         async with self.store.changed:
             del self.store.kinds["servers"]["p9"]
             self.store.revision += 1
         await self.store.forget_history()
-        await self.until(lambda: "p9" not in book.known)
+        await self.until(lambda: "p9" not in registry.known)
 
 
 class RelayTest(GatewayCase):
@@ -99,7 +99,7 @@
         second.peers.known = {first.context.vm: place}
         # From now on the store does not answer the second VM.
         second.store.base = "http://127.0.0.1:9/v1/objects"
-        second.knowledge.catalogue_follower.nudge()
+        second.knowledge.catalogue_follower.query_now()
         spec = catalogue(2)
         spec["tenants"][0]["apiKeys"] = ["only-this-key"]
         await self.store.put("config", "main", spec)
--- a/tests/coordination/store/test_relaying.py
+++ b/tests/coordination/store/test_relaying.py
@@ -223,7 +223,7 @@
         self.follower = next(g for g in self.gateways if not self.watches(g))
         for gateway in self.gateways:
             for follower in gateway.knowledge.followers():
-                follower.nudge()
+                follower.query_now()
         feeds = [f.feed for f in self.follower.knowledge.followers()]
         await self.until(lambda: not any(feed.watching for feed in feeds))
 
@@ -237,7 +237,7 @@
         await self.store.remove("servers", "p1")
         knowledge = self.follower.knowledge
         await self.until(lambda: knowledge.catalogue.current.version == 2)
-        await self.until(lambda: "p1" not in knowledge.instances.book.known)
+        await self.until(lambda: "p1" not in knowledge.instances.registry.known)
         self.assertIsNone(knowledge.catalogue_follower.failing_since)
 
     async def test_without_watchers_it_watches_itself(self):
@@ -253,13 +253,13 @@
         followers = [f for g in self.gateways for f in g.knowledge.followers()]
         for follower in followers:
             # Watches that the store holds already would still be answered.
-            follower.nudge()
+            follower.query_now()
         await self.until(lambda: all(f.failing_since is not None for f in followers))
         await self.store.remove("servers", "p1")
         self.store.refuse = None
-        book = self.follower.knowledge.instances.book
-        await self.until(lambda: "p1" in book.overdue)
-        self.assertIn("p1", book.known)
+        registry = self.follower.knowledge.instances.registry
+        await self.until(lambda: "p1" in registry.overdue)
+        self.assertIn("p1", registry.known)
 
     async def test_where_only_its_watcher_was_cut_off_a_deletion_counts(self):
         source = self.follower.knowledge.instance_follower.feed.watchers
@@ -279,11 +279,11 @@
         await self.until(lambda: knowledge.instance_follower.failing_since is None)
         await self.until(
             lambda: (
-                "p1" not in knowledge.instances.book.known
-                or "p1" in knowledge.instances.book.overdue
+                "p1" not in knowledge.instances.registry.known
+                or "p1" in knowledge.instances.registry.overdue
             )
         )
-        self.assertNotIn("p1", knowledge.instances.book.known)
+        self.assertNotIn("p1", knowledge.instances.registry.known)
 
     async def test_a_watcher_whose_connections_to_the_store_fell_silent(self):
         watcher = next(g for g in self.gateways if self.watches(g))
@@ -293,13 +293,13 @@
         self.addCleanup(link.stop)
         watcher.store.base = f"http://{host}:{link.port}/v1/objects"
         for follower in watcher.knowledge.followers():
-            follower.nudge()
+            follower.query_now()
         await self.until(lambda: len(link.writers) >= 6)
         link.silence()
         await self.store.remove("servers", "p1")
         # Watches that are held for longer than this test waits would hide it.
-        book = self.follower.knowledge.instances.book
-        await self.until(lambda: "p1" not in book.known)
+        registry = self.follower.knowledge.instances.registry
+        await self.until(lambda: "p1" not in registry.known)
 
     def test_a_silent_store_is_noticed_while_leaving_endpoints_are_served(self):
         # The least times that the users' deployments give, and longer ones.
@@ -315,11 +315,11 @@
     async def test_a_watcher_that_returns_to_a_vm_that_was_never_cut_off(self):
         knowledge = self.follower.knowledge
         self.assertIsNone(knowledge.instance_follower.failing_since)
-        knowledge.watcher_returned(0.0)
+        knowledge.store_returned_to_watcher(0.0)
         await self.store.remove("servers", "p1")
-        await self.until(lambda: "p1" not in knowledge.instances.book.known)
-        self.assertNotIn("p1", knowledge.instances.book.overdue)
-        self.assertLess(knowledge.instances.book.doubt_until, 0.0)
+        await self.until(lambda: "p1" not in knowledge.instances.registry.known)
+        self.assertNotIn("p1", knowledge.instances.registry.overdue)
+        self.assertLess(knowledge.instances.registry.doubt_until, 0.0)
 
     async def test_a_watcher_that_knows_too_little_sends_the_whole_list(self):
         for gateway in self.gateways:
@@ -330,6 +330,6 @@
         await self.store.remove("servers", "p1")
         knowledge = self.follower.knowledge
         await self.until(lambda: knowledge.catalogue.current.version == 2)
-        await self.until(lambda: "p1" not in knowledge.instances.book.known)
-        self.assertIn("p2", knowledge.instances.book.known)
+        await self.until(lambda: "p1" not in knowledge.instances.registry.known)
+        self.assertIn("p2", knowledge.instances.registry.known)
         self.assertIsNone(knowledge.catalogue_follower.failing_since)
--- a/tests/coordination/store/test_restarts.py
+++ b/tests/coordination/store/test_restarts.py
@@ -15,7 +15,7 @@
 from walnutquay.state.process.events import EventKind
 from walnutquay.state.process.ids import EndpointName, ServiceName, WorkKind
 from walnutquay.state.store.halls import EmptiedHall
-from walnutquay.state.store.instances import InstanceBook
+from walnutquay.state.store.instances import InstanceRegistry
 
 # Unix milliseconds of an endpoint's first start, and of its next one.
 FIRST, NEXT = 1_700_000_000_000, 1_700_000_060_000
@@ -27,52 +27,52 @@
     """A start is known by its name and by when it was."""
 
     def setUp(self) -> None:
-        self.book = InstanceBook(2.0)
+        self.registry = InstanceRegistry(2.0)
         self.first = replace(instance("a"), born=FIRST)
-        self.book.put(self.first, 0.0)
+        self.registry.put(self.first, 0.0)
 
     def usable(self) -> bool:
         """:returns: whether the endpoint may be used."""
-        return bool(self.book.of_service(ServiceName("s")))
+        return bool(self.registry.usable_instances(ServiceName("s")))
 
     def test_a_start_after_one_that_was_leaving(self):
         for born in (NEXT, BEFORE):
             with self.subTest(born=born):
-                self.book.put(replace(self.first, leaving=True), 1.0)
+                self.registry.put(replace(self.first, leaving=True), 1.0)
                 self.assertFalse(self.usable())
-                self.book.put(replace(self.first, born=born), 2.0)
+                self.registry.put(replace(self.first, born=born), 2.0)
                 self.assertTrue(self.usable())
-                self.book.put(self.first, 3.0)
+                self.registry.put(self.first, 3.0)
 
     def test_the_same_start_goes_on_leaving(self):
-        self.book.put(replace(self.first, leaving=True), 1.0)
-        self.book.put(self.first, 2.0)
+        self.registry.put(replace(self.first, leaving=True), 1.0)
+        self.registry.put(self.first, 2.0)
         self.assertFalse(self.usable())
 
     def test_an_entry_that_does_not_say_when(self):
-        self.book.put(replace(self.first, leaving=True), 1.0)
-        self.book.put(replace(self.first, born=None), 2.0)
+        self.registry.put(replace(self.first, leaving=True), 1.0)
+        self.registry.put(replace(self.first, born=None), 2.0)
         self.assertFalse(self.usable())
 
     def test_what_was_usable_before_a_change(self):
         order = EmptiedHall(self.first.hall, 1)
-        emptied = self.book.emptied
+        emptied = self.registry.emptied
         for change, usable in (
             (lambda: emptied.put(order), False),
             (lambda: emptied.take_back(order.hall), True),
-            (lambda: self.book.remove(EndpointName("a"), 1.0), False),
-            (lambda: self.book.put(self.first, 2.0), True),
-            (lambda: self.book.replace_all([], 3.0), False),
+            (lambda: self.registry.remove(EndpointName("a"), 1.0), False),
+            (lambda: self.registry.put(self.first, 2.0), True),
+            (lambda: self.registry.replace_all([], 3.0), False),
         ):
             change()
             self.assertEqual(self.usable(), usable)
 
     def test_since_when_it_is_known(self):
-        self.book.put(replace(self.first, born=NEXT), 7.0)
+        self.registry.put(replace(self.first, born=NEXT), 7.0)
         name = EndpointName("a")
-        self.assertEqual(self.book.since[name], 7.0)
-        self.assertFalse(self.book.is_current(self.first))
-        self.assertTrue(self.book.is_current(self.book.known[name]))
+        self.assertEqual(self.registry.since[name], 7.0)
+        self.assertFalse(self.registry.is_current(self.first))
+        self.assertTrue(self.registry.is_current(self.registry.known[name]))
 
 
 class RestartCase(GatewayCase):
@@ -89,7 +89,7 @@
         """Write an endpoint's entry, and wait until it is known."""
         spec = self.endpoints[name].spec(service, born=born, **more)
         await self.store.put("servers", name, spec)
-        known = self.gateway.knowledge.instances.book.known
+        known = self.gateway.knowledge.instances.registry.known
         await self.until(lambda: name in known and known[name].born == born)
 
 
@@ -109,7 +109,7 @@
 
     async def test_a_place_of_an_earlier_start_is_given_back_to_it(self):
         places = self.gateway.path.places
-        endpoint = self.gateway.knowledge.instances.book.known[EndpointName("p1")]
+        endpoint = self.gateway.knowledge.instances.registry.known[EndpointName("p1")]
         grant = Grant(endpoint, 0.0, WorkKind.QUICK)
         places.table.of(endpoint.name).in_flight += 1
         await self.enter("p1", "plain", NEXT)
--- a/tests/coordination/trials/test_session_versions.py
+++ b/tests/coordination/trials/test_session_versions.py
@@ -83,7 +83,7 @@
 
     def knows_trial(self, gateway: GatewayDaemon) -> bool:
         """:returns: whether a gateway knows the order and the new engine."""
-        known = gateway.knowledge.instances.book.known
+        known = gateway.knowledge.instances.registry.known
         return "n1" in known and "engine" in gateway.versions.tasks
 
     async def version(self, name: str, gateway: GatewayDaemon) -> str:
@@ -176,7 +176,7 @@
     async def test_a_vm_without_requests_so_far(self):
         worker = await self.add_worker("n1", "engine", version="v2")
         worker.default = Behaviour(events=2)
-        known = self.gateway.knowledge.instances.book.known
+        known = self.gateway.knowledge.instances.registry.known
         await self.until(lambda: "n1" in known)
         found = [
             await self.version(name, self.gateway)
--- a/tests/coordination/trials/test_trialnews.py
+++ b/tests/coordination/trials/test_trialnews.py
@@ -225,7 +225,7 @@
         ):
             with self.subTest(order=order, version=version):
                 trials._on_unknown(TrialReport(order, VersionName(version), ()))
-                self.assertEqual(follower.nudge.call_count, calls)
+                self.assertEqual(follower.query_now.call_count, calls)
 
 
 class HallPeers(FakePeers):
--- a/tests/coordination/trials/test_versions.py
+++ b/tests/coordination/trials/test_versions.py
@@ -20,7 +20,7 @@
     VersionName,
 )
 from walnutquay.state.process.metrics import Metrics
-from walnutquay.state.store.instances import Instance, InstanceBook
+from walnutquay.state.store.instances import Instance, InstanceRegistry
 from walnutquay.state.store.orders import OrderState, RolloutOrder
 from walnutquay.state.trials.choice import ChoiceReason
 from walnutquay.state.trials.counts import Measure
@@ -119,10 +119,10 @@
     """A choice tells what decided it."""
 
     def setUp(self):
-        self.book = InstanceBook(2.0)
+        self.registry = InstanceRegistry(2.0)
         for version in ("v1", "v2"):
-            self.book.put(grant(version, name=f"i-{version}").endpoint, 0.0)
-        instances = SimpleNamespace(book=self.book)
+            self.registry.put(grant(version, name=f"i-{version}").endpoint, 0.0)
+        instances = SimpleNamespace(registry=self.registry)
         orders = SimpleNamespace(listeners=[])
         knowledge = SimpleNamespace(orders=orders, instances=instances, conditions=[])
         timeline = SimpleNamespace(emit=lambda *args, **facts: None)
@@ -202,7 +202,7 @@
         self.assertEqual(self.choose(), ("", ChoiceReason.BRAKED))
 
     def test_none_runs(self):
-        self.book.remove("i-v2", 0.0)
+        self.registry.remove("i-v2", 0.0)
         self.assertEqual(self.choose(), ("", ChoiceReason.NONE_RUNS))
 
     def test_counted(self):
--- a/tests/daemon/test_gateway.py
+++ b/tests/daemon/test_gateway.py
@@ -199,7 +199,7 @@
 
     def listed(self, *names: str) -> bool:
         """:returns: whether the gateway knows these endpoints."""
-        return set(names) <= set(self.gateway.knowledge.instances.book.known)
+        return set(names) <= set(self.gateway.knowledge.instances.registry.known)
 
     def rollout(self):
         """:returns: the order as it is stored now."""
--- a/tests/gatewaycase.py
+++ b/tests/gatewaycase.py
@@ -164,9 +164,12 @@
         self.addCleanup(link.stop)
         through = {**worker.spec(service), "address": f"{host}:{link.port}"}
         await self.store.put("servers", name, through)
-        book = self.gateway.knowledge.instances.book
+        registry = self.gateway.knowledge.instances.registry
         await self.until(
-            lambda: name in book.known and str(link.port) in book.known[name].address
+            lambda: (
+                name in registry.known
+                and str(link.port) in registry.known[name].address
+            )
         )
         return link
 
--- a/tests/platform/test_unreadable.py
+++ b/tests/platform/test_unreadable.py
@@ -223,7 +223,7 @@
         for name, spec in foreign.items():
             await self.store.put("servers", name, spec)
         await self.add_worker("p3", "plain")
-        known = self.gateway.knowledge.instances.book.known
+        known = self.gateway.knowledge.instances.registry.known
         await self.until(lambda: "p3" in known)
         self.assertEqual(set(known), {"p1", "p2", "p3", "e1"})
         self.assertTrue(await self.served())
@@ -235,7 +235,7 @@
         self.assertIn("cannot be read", " ".join(concerns([state])))
 
     async def test_an_entry_that_could_be_read_before(self):
-        known = self.gateway.knowledge.instances.book.known
+        known = self.gateway.knowledge.instances.registry.known
         await self.store.put("servers", "p1", {"service": "plain"})
         await self.until(lambda: "p1" not in known)
         before = self.runs("p1")
@@ -251,17 +251,17 @@
         second = await self.add_gateway("vm-2")
         third = await self.add_gateway("vm-3", [second])
         for gateway in (second, third):
-            known = gateway.knowledge.instances.book.known
+            known = gateway.knowledge.instances.registry.known
             self.assertEqual(set(known), {"p1", "p2", "e1"})
         await self.add_worker("p3", "plain")
         for gateway in (second, third):
-            known = gateway.knowledge.instances.book.known
+            known = gateway.knowledge.instances.registry.known
             await self.until(lambda known=known: "p3" in known)
 
     async def test_an_object_without_a_name(self):
         self.store.foreign_items = [{"spec": {}}, 7, None, {"metadata": {"name": 5}}]
         second = await self.add_gateway("vm-2")
-        known = second.knowledge.instances.book.known
+        known = second.knowledge.instances.registry.known
         self.assertEqual(set(known), {"p1", "p2", "e1"})
 
     async def test_a_configuration_leaves_the_last_one_in_force(self):
--- a/walnutquay/coordination/routed/cold.py
+++ b/walnutquay/coordination/routed/cold.py
@@ -24,7 +24,7 @@
     sender_quota,
 )
 from walnutquay.state.store.catalogue import RoutedService
-from walnutquay.state.store.instances import Instance, InstanceBook
+from walnutquay.state.store.instances import Instance, InstanceRegistry
 from walnutquay.transport.timers import monotonic
 
 MILLISECONDS = 1000.0
@@ -52,7 +52,7 @@
     """Says which endpoints this VM may send to, as some are cold.
 
     :param context: what this process shares.
-    :param book: the endpoints.
+    :param registry: the endpoints.
     :param service_of: gives a service as operators have set it; None for unknown ones.
     :param peers: the other VMs.
     :param cold_over: so many times what an endpoint bears operators allow in a second.
@@ -62,14 +62,14 @@
     def __init__(
         self,
         context: Context,
-        book: InstanceBook,
+        registry: InstanceRegistry,
         service_of: Callable[[ServiceName], RoutedService | None],
         peers: Peers,
         cold_over: float,
         cold_extra: float,
     ) -> None:
         self.context = context
-        self.book = book
+        self.registry = registry
         self.service_of = service_of
         self.peers = peers
         self.cold_over = cold_over
@@ -109,7 +109,7 @@
 
         :param hall: the data hall.
         """
-        for instance in self.book.known.values():
+        for instance in self.registry.known.values():
             service = self.service_of(instance.service)
             if instance.hall == hall and service is not None:
                 self._turn(instance, service.cold_seconds, "its hall was emptied")
--- a/walnutquay/coordination/routed/path.py
+++ b/walnutquay/coordination/routed/path.py
@@ -203,7 +203,7 @@
         :returns: whether no later start of it is known.
         """
         assert isinstance(grant.endpoint, Instance)
-        return self.places.book.is_current(grant.endpoint)
+        return self.places.registry.is_current(grant.endpoint)
 
     def on_ended(self, turn: RoutedTurn, grant: Grant) -> None:
         """Let another endpoint be asked though all attempts are used up.
--- a/walnutquay/coordination/routed/places.py
+++ b/walnutquay/coordination/routed/places.py
@@ -29,7 +29,7 @@
 from walnutquay.state.routed.modelchoice import Demand, priority_weight
 from walnutquay.state.routed.traffic import PromptTraffic, SentPrompt
 from walnutquay.state.routed.work import PromptWork, WorkTable, preferred_endpoint
-from walnutquay.state.store.instances import Instance, InstanceBook
+from walnutquay.state.store.instances import Instance, InstanceRegistry
 from walnutquay.transport.timers import monotonic
 
 # When to come back where no endpoint runs: one that starts is listed within a second.
@@ -66,7 +66,7 @@
     """Gives out places at endpoints; endpoints have queues of their own.
 
     :param context: what this process shares.
-    :param book: the endpoints.
+    :param registry: the endpoints.
     :param table: what is known of their load and health.
     :param allowed: tells which versions may be used.
     :param memory: tells how many tokens an engine of a service keeps; 0 if unknown.
@@ -78,7 +78,7 @@
     def __init__(
         self,
         context: Context,
-        book: InstanceBook,
+        registry: InstanceRegistry,
         table: EndpointTable,
         allowed: AllowedVersions,
         memory: Callable[[ServiceName], int],
@@ -87,7 +87,7 @@
         region_of: Mapping[HallName, RegionName],
     ) -> None:
         self.context = context
-        self.book = book
+        self.registry = registry
         self.table = table
         self.allowed = allowed
         self.work = WorkTable()
@@ -95,7 +95,7 @@
         self.vms = vms
         self.cold = cold
         self.region_of = region_of
-        self.reach = Reach(context, book)
+        self.reach = Reach(context, registry)
         self.beliefs = EngineBeliefs(context.hall, table, self.work)
         # The prompts that this VM has sent last, by service.
         self.traffic: dict[ServiceName, PromptTraffic] = {}
@@ -111,9 +111,9 @@
         :returns: the endpoints that may be used now.
         """
         if version:
-            return self.book.of_service(service, VersionName(version))
+            return self.registry.usable_instances(service, VersionName(version))
         allowed = self.allowed(service)
-        found = self.book.of_service(service)
+        found = self.registry.usable_instances(service)
         if allowed is None:
             return found
         return [item for item in found if item.version in allowed]
@@ -262,7 +262,7 @@
         """
         self.work.apply_peer_rate(news.model, news.rate)
         name = EndpointName(news.endpoint)
-        if name in self.book.known:
+        if name in self.registry.known:
             self.work.add(name, news.seconds, news.beginning, monotonic())
 
     def expected(self, grant: Grant) -> float:
@@ -348,7 +348,7 @@
             if note.engine == name:
                 del self.reading[number]
         # What came of its last requests may have been noted since it went.
-        known = set(self.book.known) | {name}
+        known = set(self.registry.known) | {name}
         self.table.forget_except(known)
         self.work.forget_except(known)
 
@@ -361,7 +361,7 @@
         self.reading.pop(id(grant), None)
         endpoint = grant.endpoint
         assert isinstance(endpoint, Instance)
-        known = self.book.known.get(endpoint.name)
+        known = self.registry.known.get(endpoint.name)
         # The places of an earlier start went with it.
         if known is not None and known.is_same_start(endpoint):
             facts = self.table.of(grant.name)
--- a/walnutquay/coordination/routed/reach.py
+++ b/walnutquay/coordination/routed/reach.py
@@ -11,7 +11,7 @@
 from walnutquay.coordination.process.tasks import Tasks
 from walnutquay.state.process.events import EventKind
 from walnutquay.state.process.ids import EndpointName, HallName
-from walnutquay.state.store.instances import Instance, InstanceBook
+from walnutquay.state.store.instances import Instance, InstanceRegistry
 from walnutquay.transport.client import is_reachable
 from walnutquay.transport.timers import monotonic
 
@@ -36,12 +36,12 @@
     """Knows the endpoints that cannot be connected to, and tries them again.
 
     :param context: what this process shares.
-    :param book: the endpoints.
+    :param registry: the endpoints.
     """
 
-    def __init__(self, context: Context, book: InstanceBook) -> None:
+    def __init__(self, context: Context, registry: InstanceRegistry) -> None:
         self.context = context
-        self.book = book
+        self.registry = registry
         # Endpoints that cannot be connected to, since their last try.
         self.unreachable: dict[EndpointName, Unreached] = {}
         self.probes = Tasks()
@@ -91,7 +91,7 @@
 
         :param endpoint: the endpoint; it is avoided from now on if it cannot.
         """
-        if endpoint.name in self.unreachable or not self.book.is_current(endpoint):
+        if endpoint.name in self.unreachable or not self.registry.is_current(endpoint):
             return False
         trying = self.tries.get(endpoint.name)
         if trying is None:
--- a/walnutquay/coordination/store/following.py
+++ b/walnutquay/coordination/store/following.py
@@ -113,10 +113,10 @@
 class Sink(Protocol[Item]):
     """Takes in what a follower learns."""
 
-    def take_listing(self, listing: Listing[Item]) -> None:
+    def apply_listing(self, listing: Listing[Item]) -> None:
         """:param listing: all that there is."""
 
-    def take_changes(self, changes: Changes[Item]) -> None:
+    def apply_changes(self, changes: Changes[Item]) -> None:
         """:param changes: what has changed since."""
 
 
@@ -204,10 +204,10 @@
             EventKind.RELAYED,
             detail=f"{self.feed.kind}: revision {self.revision} to {listing.revision}",
         )
-        self.sink.take_listing(listing)
+        self.sink.apply_listing(listing)
         self.revision = listing.revision
 
-    def nudge(self) -> None:
+    def query_now(self) -> None:
         """Ask anew at once: the call under way may never be answered."""
         if self.running is not None and not self.running.done():
             self.nudged = True
@@ -235,7 +235,7 @@
         changes = await self.feed.watch(self.revision, seconds)
         self._answered()
         if changes.changes:
-            self.sink.take_changes(changes)
+            self.sink.apply_changes(changes)
             self._changed(changes.revision)
         # A list may have been read meanwhile, or be needed since.
         if self.revision is not None:
@@ -247,7 +247,7 @@
         self._answered()
         if self.revision is not None and listing.revision < self.revision:
             return
-        self.sink.take_listing(listing)
+        self.sink.apply_listing(listing)
         self._changed(listing.revision)
         self.revision = listing.revision
 
--- a/walnutquay/coordination/store/knowledge.py
+++ b/walnutquay/coordination/store/knowledge.py
@@ -76,7 +76,7 @@
         self.catalogue = CatalogueSink(context)
         self.instances = InstanceSink(context)
         self.orders = OrderSink(context)
-        self.halls = HallSink(context, self.instances.book.emptied)
+        self.halls = HallSink(context, self.instances.registry.emptied)
         self.catalogue_follower = Follower(
             context,
             catalogues,
@@ -153,7 +153,7 @@
     async def _confirm_all(self) -> None:
         await asyncio.gather(*(self._confirm(each) for each in self.followers()))
 
-    async def settled(self) -> None:
+    async def wait_confirmed(self) -> None:
         """Wait until what is known is not from before this VM was away.
 
         Not for long, though: where the store is away too, what is known is used.
@@ -165,16 +165,16 @@
     def _store_returned(self) -> None:
         """Have the kinds with long waits asked anew."""
         self._entries_return()
-        self.instance_follower.nudge()
-        self.order_follower.nudge()
-        self.hall_follower.nudge()
+        self.instance_follower.query_now()
+        self.order_follower.query_now()
+        self.hall_follower.query_now()
 
     def _entries_return(self) -> None:
         """Expect that entries which lapsed with the store come back soon."""
         self.returned_at = monotonic()
         self.instances.doubt_deletions()
 
-    def watcher_returned(self, ago: float) -> None:
+    def store_returned_to_watcher(self, ago: float) -> None:
         """Take in that the store has returned to the VM that watches it for this one.
 
         If another watcher has answered meanwhile, only that VM was cut off: nothing
@@ -211,7 +211,7 @@
                 return KnownIs(follower.feed.export(question.revision))
         return KnownIs(b"")
 
-    def lists(self) -> tuple[KnownList, ...]:
+    def export_lists(self) -> tuple[KnownList, ...]:
         """:returns: all that is known, for a VM that starts; nothing until all is."""
         lists = tuple(
             KnownList(follower.feed.kind, follower.feed.export(0))
--- a/walnutquay/coordination/store/sinks.py
+++ b/walnutquay/coordination/store/sinks.py
@@ -17,7 +17,7 @@
 from walnutquay.state.store.catalogue import Catalogue
 from walnutquay.state.store.feeds import Change, Changes, Listing
 from walnutquay.state.store.halls import EmptiedHall, EmptiedHalls
-from walnutquay.state.store.instances import Instance, InstanceBook
+from walnutquay.state.store.instances import Instance, InstanceRegistry
 from walnutquay.state.store.orders import RolloutOrder
 from walnutquay.transport.timers import monotonic
 
@@ -39,18 +39,18 @@
         self.taken_at = 0.0
         self.listeners: list[Callable[[Catalogue], None]] = []
 
-    def take_listing(self, listing: Listing[Catalogue]) -> None:
+    def apply_listing(self, listing: Listing[Catalogue]) -> None:
         """:param listing: all configurations: one, or none yet."""
         for catalogue in listing.items.values():
-            self.take(catalogue)
+            self.apply(catalogue)
 
-    def take_changes(self, changes: Changes[Catalogue]) -> None:
+    def apply_changes(self, changes: Changes[Catalogue]) -> None:
         """:param changes: newer configurations, in order."""
         for change in changes.changes:
             if change.item is not None:
-                self.take(change.item)
+                self.apply(change.item)
 
-    def take(self, catalogue: Catalogue) -> bool:
+    def apply(self, catalogue: Catalogue) -> bool:
         """Put a configuration in force, unless it is an older one.
 
         :param catalogue: the configuration.
@@ -79,7 +79,7 @@
 
     def __init__(self, context: Context) -> None:
         self.context = context
-        self.book = InstanceBook(OVERDUE_SECONDS)
+        self.registry = InstanceRegistry(OVERDUE_SECONDS)
         # Whether a whole list has ever been read.
         self.listed = False
         # The versions of each service in the first list.
@@ -89,7 +89,7 @@
         # Told of each endpoint that has started again under its name.
         self.restart_listeners: list[Callable[[EndpointName], None]] = []
 
-    def take_listing(self, listing: Listing[Instance]) -> None:
+    def apply_listing(self, listing: Listing[Instance]) -> None:
         """:param listing: all endpoints' entries."""
         now = monotonic()
         if not self.listed:
@@ -99,10 +99,10 @@
         self.listed = True
         for instance in listing.items.values():
             self._put(instance, now)
-        for name in self.book.replace_all(listing.items.values(), now):
+        for name in self.registry.replace_all(listing.items.values(), now):
             self._tell_gone(name, "not listed")
 
-    def take_changes(self, changes: Changes[Instance]) -> None:
+    def apply_changes(self, changes: Changes[Instance]) -> None:
         """:param changes: entries that have changed, in order."""
         now = monotonic()
         for change in changes.changes:
@@ -113,27 +113,27 @@
 
         :param ago: seconds since the store has returned.
         """
-        self.book.doubt_deletions(monotonic() - ago)
+        self.registry.doubt_deletions(monotonic() - ago)
 
     def drop_overdue(self) -> None:
         """Forget the endpoints whose entries have not come back."""
-        for name in self.book.drop_overdue(monotonic()):
+        for name in self.registry.drop_overdue(monotonic()):
             self._tell_gone(name, "its entry did not come back")
 
     def _take_change(self, change: Change[Instance], now: float) -> None:
         if change.item is not None:
             self._put(change.item, now)
-        elif self.book.remove(EndpointName(change.name), now):
+        elif self.registry.remove(EndpointName(change.name), now):
             self._tell_gone(EndpointName(change.name), "its entry was deleted")
 
     def _put(self, instance: Instance, now: float) -> None:
-        before = self.book.known.get(instance.name)
+        before = self.registry.known.get(instance.name)
         if before is not None and not before.is_same_start(instance):
             self._tell_gone(instance.name, "it has started again")
             for listener in self.restart_listeners:
                 listener(instance.name)
             before = None
-        self.book.put(instance, now)
+        self.registry.put(instance, now)
         if before == instance:
             return
         if before is None or instance.leaving != before.leaving:
@@ -169,23 +169,23 @@
         self.listed = False
         self.listeners: list[Callable[[RolloutOrder], None]] = []
 
-    def take_listing(self, listing: Listing[RolloutOrder]) -> None:
+    def apply_listing(self, listing: Listing[RolloutOrder]) -> None:
         """:param listing: all orders."""
         self.listed = True
         for name in [name for name in self.orders if name not in listing.items]:
             del self.orders[name]
         for order in listing.items.values():
-            self.take(order)
+            self.apply(order)
 
-    def take_changes(self, changes: Changes[RolloutOrder]) -> None:
+    def apply_changes(self, changes: Changes[RolloutOrder]) -> None:
         """:param changes: orders that have changed, in order."""
         for change in changes.changes:
             if change.item is None:
                 self.orders.pop(change.name, None)
             else:
-                self.take(change.item)
+                self.apply(change.item)
 
-    def take(self, order: RolloutOrder) -> None:
+    def apply(self, order: RolloutOrder) -> None:
         """Take in an order, unless it is an older state of one that is known.
 
         :param order: the order.
@@ -217,7 +217,7 @@
         # Told of each data hall whose endpoints may be sent requests again.
         self.back_listeners: list[Callable[[HallName], None]] = []
 
-    def take_listing(self, listing: Listing[EmptiedHall]) -> None:
+    def apply_listing(self, listing: Listing[EmptiedHall]) -> None:
         """:param listing: all orders."""
         self.listed = True
         for hall in self.emptied.missing(listing.items):
@@ -225,7 +225,7 @@
         for order in listing.items.values():
             self._put(order)
 
-    def take_changes(self, changes: Changes[EmptiedHall]) -> None:
+    def apply_changes(self, changes: Changes[EmptiedHall]) -> None:
         """:param changes: orders that have changed, in order."""
         for change in changes.changes:
             if change.item is None:
--- a/walnutquay/coordination/trials/answers.py
+++ b/walnutquay/coordination/trials/answers.py
@@ -54,7 +54,7 @@
         """
         started = unix_seconds() - (monotonic() - trial.started)
         wanted = replace(trial.order, state=state, started=started)
-        self.orders.take(await self.order_store.answer(wanted, state))
+        self.orders.apply(await self.order_store.answer(wanted, state))
 
     async def read_again(self, order: RolloutOrder) -> None:
         """Take in an order as it stands now.
@@ -67,7 +67,7 @@
             log.warn("order {} could not be read again: {}", order.name, error)
             return
         if present is not None:
-            self.orders.take(present)
+            self.orders.apply(present)
 
 
 def unix_seconds() -> float:
--- a/walnutquay/coordination/trials/versions.py
+++ b/walnutquay/coordination/trials/versions.py
@@ -174,7 +174,7 @@
         # the store does not answer.
         if self.heard_of.get((report.order, report.version)) is None:
             self.heard_of.touch((report.order, report.version))
-            self.knowledge.order_follower.nudge()
+            self.knowledge.order_follower.query_now()
 
     def _ended(self, order: RolloutOrder, task: TrialTask | None) -> None:
         if task is not None:
@@ -188,7 +188,7 @@
             None for all.
         """
         instances = self.knowledge.instances
-        running = instances.book.versions_of(service)
+        running = instances.registry.usable_versions(service)
         first = instances.first_versions.get(service, running)
         trial = self.trial_of(service)
         on_trial = trial.order.version if trial is not None else None
@@ -226,8 +226,8 @@
         trial = task.trial
         if not trial.open and not task.asking:
             order = trial.order
-            book = self.knowledge.instances.book
-            since = book.version_since(order.service, order.version)
+            registry = self.knowledge.instances.registry
+            since = registry.version_first_seen(order.service, order.version)
             known = since is not None and now >= since + SPREAD_SECONDS
             trial.open = known and now >= trial.opens_at
         return trial.open
@@ -247,7 +247,9 @@
         if trial.rejected:
             return False, ChoiceReason.BRAKED
         version = trial.order.version
-        if version not in self.knowledge.instances.book.versions_of(turn.service):
+        if version not in self.knowledge.instances.registry.usable_versions(
+            turn.service
+        ):
             return False, ChoiceReason.NONE_RUNS
         on_new = note is not None and note.version == version
         seen_on_new = note.at if note is not None and on_new else -math.inf
--- a/walnutquay/daemon/gateway.py
+++ b/walnutquay/daemon/gateway.py
@@ -119,7 +119,7 @@
         first_start = options.peers.first_start
         self.watchers = Watchers(self.context, self.peers)
         self.starting = StartingKnowledge(
-            self.context, self.peers, lambda: self.knowledge.lists(), first_start
+            self.context, self.peers, lambda: self.knowledge.export_lists(), first_start
         )
         self.dispatcher.on(AskStart, self.starting.answer)
         self.vm_list = VmList(
@@ -197,7 +197,7 @@
         versions = self.versions
         places = RoutedPlaces(
             self.context,
-            self.knowledge.instances.book,
+            self.knowledge.instances.registry,
             table,
             versions.allowed,
             self._memory_of,
@@ -231,7 +231,7 @@
         promises = self.options.promises
         return ColdGate(
             self.context,
-            self.knowledge.instances.book,
+            self.knowledge.instances.registry,
             self._service,
             self.peers,
             promises.cold_over,
--- a/walnutquay/daemon/gatewayapi.py
+++ b/walnutquay/daemon/gatewayapi.py
@@ -206,7 +206,7 @@
     ) -> tuple[Route, Organisation, Catalogue]:
         """Find the route and the caller; before denying them, ask the store again."""
         await self.knowledge.wait_ready(STARTING_SECONDS)
-        await self.knowledge.settled()
+        await self.knowledge.wait_confirmed()
         refusal = self.path.unready()
         if refusal is not None:
             raise BadCallError(refusal)
--- a/walnutquay/daemon/metricsapi.py
+++ b/walnutquay/daemon/metricsapi.py
@@ -143,11 +143,11 @@
 
     def _emptied(self) -> Iterator[str]:
         """Tell which data halls are emptied, and what this VM still has there."""
-        book = self.knowledge.instances.book
+        registry = self.knowledge.instances.registry
         for hall in sorted(self.knowledge.halls.emptied.orders):
             running = sum(
                 self.path.parts.table.of(item.name).in_flight
-                for item in book.known.values()
+                for item in registry.known.values()
                 if item.hall == hall
             )
             yield f'{PREFIX}_emptied_hall_running{{hall="{escaped(hall)}"}} {running}'
@@ -155,7 +155,7 @@
     def _endpoints(self) -> Iterator[str]:
         now = monotonic()
         states: Counter[tuple[str, str]] = Counter()
-        for item in self.knowledge.instances.book.known.values():
+        for item in self.knowledge.instances.registry.known.values():
             facts = self.path.parts.table.of(item.name)
             if item.leaving:
                 state = "leaving"
--- a/walnutquay/daemon/storefeeds.py
+++ b/walnutquay/daemon/storefeeds.py
@@ -69,7 +69,7 @@
             RelayedFeed(
                 instances,
                 self.watchers,
-                lambda ago: made.watcher_returned(ago),
+                lambda ago: made.store_returned_to_watcher(ago),
                 times.endpoints * POLL_SHARE,
                 self.starting,
             ),
--- a/walnutquay/state/store/instances.py
+++ b/walnutquay/state/store/instances.py
@@ -53,7 +53,7 @@
         return None in (self.born, other.born) or self.born == other.born
 
 
-class InstanceBook:
+class InstanceRegistry:
     """The instances that one VM believes to run.
 
     An instance whose entry went while the platform's store was away may have
@@ -155,7 +155,7 @@
             self._forget(name)
         return ended
 
-    def of_service(
+    def usable_instances(
         self, service: ServiceName, version: VersionName | None = None
     ) -> list[Instance]:
         """:param service: a service.
@@ -177,20 +177,22 @@
             ]
         return found
 
-    def versions_of(self, service: ServiceName) -> set[VersionName]:
+    def usable_versions(self, service: ServiceName) -> set[VersionName]:
         """:param service: a service.
 
         :returns: the versions of its instances that may be sent requests.
         """
-        return {instance.version for instance in self.of_service(service)}
+        return {instance.version for instance in self.usable_instances(service)}
 
-    def version_since(self, service: ServiceName, version: VersionName) -> float | None:
+    def version_first_seen(
+        self, service: ServiceName, version: VersionName
+    ) -> float | None:
         """:param service: a service.
 
         :param version: one of its versions.
         :returns: since when an instance of it has been known; None where none is.
         """
-        known = self.of_service(service, version)
+        known = self.usable_instances(service, version)
         return min((self.since[instance.name] for instance in known), default=None)
 
     def _forget(self, name: EndpointName) -> None:
