--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -10,7 +10,7 @@
     Mutation(
         "relays: entries that lapse with the store are doubted by all",
         "coordination/store/relaying.py",
-        "            self.on_returned(answer.returned)",
+        "            self.on_store_returned(answer.returned)",
         "            pass",
         "tests.coordination.store.test_relaying.ReturnedStoreTest",
     ),
@@ -240,7 +240,7 @@
     Mutation(
         "an endpoint's next start has nothing of the one before",
         "coordination/store/sinks.py",
-        'self._tell_gone(instance.name, "it has started again")',
+        'self._notify_gone(instance.name, "it has restarted")',
         "pass",
         "tests.coordination.store.test_restarts.ForgettingTest",
     ),
--- a/tests/coordination/store/test_emptied.py
+++ b/tests/coordination/store/test_emptied.py
@@ -40,7 +40,7 @@
         emptied = self.gateway.knowledge.halls.emptied
         await self.until(lambda: all(hall in emptied for hall in halls))
 
-    async def take_back(self, hall: str) -> None:
+    async def restore(self, hall: str) -> None:
         """Take a hall back, and wait until the gateway knows."""
         await self.store.remove("evacuations", hall)
         emptied = self.gateway.knowledge.halls.emptied
@@ -100,7 +100,7 @@
         await self.empty("hall-b")
         stream = asyncio.ensure_future(self.call("/stream/x", b"b", **STREAM))
         await self.until(lambda: self.runs("e1") == 1)
-        await self.take_back("hall-b")
+        await self.restore("hall-b")
         await self.empty("hall-a")
         return stream
 
@@ -136,7 +136,7 @@
 
     async def test_served_when_one_is_taken_back(self):
         await self.empty("hall-a", "hall-b")
-        await self.take_back("hall-b")
+        await self.restore("hall-b")
         self.assertEqual((await self.call("/unsafe/x", b"b")).status, 200)
         self.assertEqual((self.runs("p1"), self.runs("p2")), (0, 1))
 
@@ -182,7 +182,7 @@
 
     async def test_it_is_logged(self):
         await self.empty("hall-a")
-        await self.take_back("hall-a")
+        await self.restore("hall-a")
         events = self.gateway.context.timeline.ring.events
         kinds = (EventKind.HALL_EMPTIED, EventKind.HALL_BACK)
         found = [event for event in events if event.kind in kinds]
--- a/tests/coordination/store/test_knowledge.py
+++ b/tests/coordination/store/test_knowledge.py
@@ -46,7 +46,7 @@
         self.assertEqual(self.names(), {"b"})
 
     def test_after_an_outage_it_is_doubted_for_a_while(self):
-        self.registry.doubt_deletions(10.0)
+        self.registry.mark_deletions_unconfirmed(10.0)
         self.assertFalse(self.registry.remove(EndpointName("a"), 10.5))
         self.assertEqual(self.registry.drop_overdue(11.9), [])
         self.assertEqual(self.names(), {"a", "b"})
@@ -54,7 +54,7 @@
         self.assertEqual(self.names(), {"b"})
 
     def test_an_entry_that_comes_back_stays(self):
-        self.registry.doubt_deletions(10.0)
+        self.registry.mark_deletions_unconfirmed(10.0)
         self.registry.replace_all([instance("b")], 10.5)
         self.registry.put(instance("a"), 11.0)
         self.assertEqual(self.registry.drop_overdue(13.0), [])
@@ -64,7 +64,7 @@
         self.registry.put(instance("a", leaving=True), 1.0)
         self.registry.put(instance("a"), 2.0)
         self.assertEqual(self.names(), {"b"})
-        self.registry.doubt_deletions(3.0)
+        self.registry.mark_deletions_unconfirmed(3.0)
         self.assertTrue(self.registry.remove(EndpointName("a"), 3.1))
 
 
--- a/tests/coordination/store/test_relaying.py
+++ b/tests/coordination/store/test_relaying.py
@@ -319,7 +319,7 @@
         await self.store.remove("servers", "p1")
         await self.until(lambda: "p1" not in knowledge.instances.registry.known)
         self.assertNotIn("p1", knowledge.instances.registry.overdue)
-        self.assertLess(knowledge.instances.registry.doubt_until, 0.0)
+        self.assertLess(knowledge.instances.registry.deletions_unconfirmed_until, 0.0)
 
     async def test_a_watcher_that_knows_too_little_sends_the_whole_list(self):
         for gateway in self.gateways:
--- a/tests/coordination/store/test_restarts.py
+++ b/tests/coordination/store/test_restarts.py
@@ -59,7 +59,7 @@
         emptied = self.registry.emptied
         for change, usable in (
             (lambda: emptied.put(order), False),
-            (lambda: emptied.take_back(order.hall), True),
+            (lambda: emptied.restore(order.hall), True),
             (lambda: self.registry.remove(EndpointName("a"), 1.0), False),
             (lambda: self.registry.put(self.first, 2.0), True),
             (lambda: self.registry.replace_all([], 3.0), False),
@@ -70,7 +70,7 @@
     def test_since_when_it_is_known(self):
         self.registry.put(replace(self.first, born=NEXT), 7.0)
         name = EndpointName("a")
-        self.assertEqual(self.registry.since[name], 7.0)
+        self.assertEqual(self.registry.first_seen[name], 7.0)
         self.assertFalse(self.registry.is_current(self.first))
         self.assertTrue(self.registry.is_current(self.registry.known[name]))
 
--- a/walnutquay/coordination/store/__init__.py
+++ b/walnutquay/coordination/store/__init__.py
@@ -1,7 +1,7 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What this VM knows from the platform's store: configuration, endpoints, orders.
+"""A VM's copy of the platform's store: configuration, endpoints and orders.
 
-It owns what is known; it hears from the store or from VMs that watch it, and tells
-listeners of each change.
+This package owns the copy.  It receives changes from the store, or from VMs that watch
+the store, and notifies listeners of each change.
 """
--- a/walnutquay/coordination/store/following.py
+++ b/walnutquay/coordination/store/following.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Follows one kind of the store's objects: lists it once, then watches it."""
+"""Followers, each of which lists one kind of the store's objects, then watches it."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 from walnutquay.state.store.feeds import Changes, Listing
 from walnutquay.transport.timers import monotonic
 
-# A watch of the configuration ends so much before a change has to be in force: an
-# answer that is overdue is noticed then, and another VM can still be asked.
-NOTICE_SECONDS = 0.5
-# Endpoints' entries are watched for so much of the time in which a leaving endpoint
-# still has to be served: a connection may fall silent for good, and all that hear from
-# this VM must know of it within that time.
+# A watch of the configuration ends this long before a change must be in force, so that
+# an overdue answer is noticed while there is still time to query another VM.
+OVERDUE_ANSWER_SECONDS = 0.5
+# The length of a watch of endpoints' entries, as a share of the time for which a
+# leaving endpoint must still be served.  A connection may stall permanently, and all
+# VMs that receive changes from this one must be informed of the stall within that time.
 ENTRY_WATCH_SHARE = 0.5
-# Orders are watched with long waits, for each call has its price; they are asked anew
-# when another kind has found that the store was away.
+# Orders are watched with long waits because each call has a price.  They are queried
+# again when the follower of another kind finds that the store was unavailable.
 ORDER_WATCH_SECONDS = 4.0
-# While the store does not answer, calls wait no longer than this for changes.
+# While the store does not answer, calls wait at most this long for changes.
 PROBE_SECONDS = 0.3
-# Endpoints' entries and orders are watched anew no sooner than so long after the call
-# before: while a fleet starts each call would bring one entry.  A tenth of the time in
-# which a leaving endpoint still has to be served.
+# The minimum time between the starts of two watches of endpoints' entries or of orders.
+# Without it, each call would return a single entry while a fleet starts.  It is a tenth
+# of the time for which a leaving endpoint must still be served.
 WATCH_GAP_SECONDS = 0.2
-# Pause after a failed call: the store is back in use soon after it returns, and
-# some ten VMs make few calls while it is away.
+# The pause after a failed call.  It is short enough to use the store soon after it is
+# available again, and long enough that some ten VMs make few calls meanwhile.
 RETRY_SECONDS = 0.25
 
 log = logbook.Logger(__name__)
@@ -42,15 +42,15 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchTimes:
-    """How long one watch of each kind waits for a change; seconds.
+    """The time for which one watch of each kind waits for a change, in seconds.
 
-    Long waits save calls; an answer that is lost, or a connection that falls silent, is
-    noticed only when one is overdue.
+    Long waits reduce the number of calls, but a lost answer or a stalled connection is
+    noticed only when an answer is overdue.
 
-    :param configuration: of the operators' configuration.
-    :param endpoints: of the endpoints' entries.
-    :param orders: of roll-out orders.
-    :param halls: of data halls that are emptied.
+    :param configuration: for the operators' configuration.
+    :param endpoints: for the endpoints' entries.
+    :param orders: for roll-out orders.
+    :param halls: for orders that empty data halls.
     """
 
     configuration: float
@@ -62,62 +62,76 @@
 def watch_times(
     config_seconds: float, drain_seconds: float, empty_seconds: float
 ) -> WatchTimes:
-    """:param config_seconds: in which a configuration must be in force everywhere.
+    """Compute the times for which watches wait.
 
-    :param drain_seconds: in which a leaving endpoint is still to be served.
-    :param empty_seconds: in which an emptied data hall is still to be served.
+    :param config_seconds: the time within which a configuration must be in force on all
+        VMs.
+    :param drain_seconds: the time for which a leaving endpoint must still be served.
+    :param empty_seconds: the time for which an emptied data hall must still be served.
     """
     return WatchTimes(
-        max(PROBE_SECONDS, config_seconds - NOTICE_SECONDS),
+        max(PROBE_SECONDS, config_seconds - OVERDUE_ANSWER_SECONDS),
         ENTRY_WATCH_SHARE * drain_seconds,
         ORDER_WATCH_SECONDS,
-        max(PROBE_SECONDS, empty_seconds - NOTICE_SECONDS),
+        max(PROBE_SECONDS, empty_seconds - OVERDUE_ANSWER_SECONDS),
     )
 
 
 Item = TypeVar("Item")
-# Asks peers for newer knowledge of a kind than a revision; empty where none has it.
-AskPeers = Callable[[str, int], Awaitable[bytes]]
+# Queries peers for a list of a kind that is newer than a revision; returns empty bytes
+# if no peer has one.
+QueryPeers = Callable[[str, int], Awaitable[bytes]]
 
 
 class Feed(Protocol[Item]):
     """Lists and watches one kind of object."""
 
     kind: str
-    # Whether what it told last came from the store itself, not from another VM.
+    # Whether the last answer came from the store itself rather than from another VM.
     watching: bool
 
     @property
     def unreadable(self) -> Mapping[str, int]:
-        """Objects that cannot be read, by name."""
+        """The revisions of objects that cannot be read, by name."""
 
     async def list(self) -> Listing[Item]:
-        """:returns: all objects."""
+        """Return all objects."""
 
     async def watch(self, revision: int, seconds: float) -> Changes[Item]:
-        """:param revision: the revision after which changes count.
+        """Wait for changes.
 
-        :param seconds: how long to wait for one.
+        :param revision: the revision after which changes are returned.
+        :param seconds: the longest time to wait.
         """
 
     def export(self, revision: int) -> bytes:
-        """:param revision: what a peer knows.
+        """Export the list for a peer.
 
-        :returns: what is known here, if it is newer.
+        :param revision: the revision that the peer has.
+        :returns: the list, if it is newer; otherwise empty bytes.
         """
 
     def read_export(self, data: bytes) -> Listing[Item]:
-        """:param data: what a peer has exported."""
+        """Read a list that a peer exported.
+
+        :param data: the exported list.
+        """
 
 
 class Sink(Protocol[Item]):
-    """Takes in what a follower learns."""
+    """A receiver of the objects that a follower reads."""
 
     def apply_listing(self, listing: Listing[Item]) -> None:
-        """:param listing: all that there is."""
+        """Apply a full list.
+
+        :param listing: all objects.
+        """
 
     def apply_changes(self, changes: Changes[Item]) -> None:
-        """:param changes: what has changed since."""
+        """Apply changes.
+
+        :param changes: the changes since the last revision that was applied.
+        """
 
 
 class Follower(Generic[Item]):
@@ -125,13 +139,13 @@
 
     Run :meth:`run` as a task.
 
-    :param context: what this process shares.
+    :param context: the shared context of this process.
     :param feed: lists and watches the kind.
-    :param sink: takes in what is learnt.
-    :param seconds: how long one watch waits for a change.
-    :param gap: seconds from the beginning of one call to that of the next at the least.
-    :param on_return: called when the store itself answers again after it did not.
-    :param ask_peers: asks the other VMs for newer knowledge of a kind.
+    :param sink: receives the objects.
+    :param seconds: the time for which one watch waits for a change.
+    :param on_return: called when the store itself answers again after failures.
+    :param query_peers: queries the other VMs for a newer list of a kind.
+    :param gap: the minimum time between the starts of two watches, in seconds.
     """
 
     def __init__(
@@ -141,7 +155,7 @@
         sink: Sink[Item],
         seconds: float,
         on_return: Callable[[], None],
-        ask_peers: AskPeers,
+        query_peers: QueryPeers,
         gap: float = 0.0,
     ) -> None:
         self.context = context
@@ -149,53 +163,55 @@
         self.sink = sink
         self.seconds = seconds
         self.on_return = on_return
-        self.ask_peers = ask_peers
+        self.query_peers = query_peers
         self.gap = gap
-        self.asked_at = float("-inf")
-        # The step that is under way, and whether it is to be given up for another.
+        self.queried_at = float("-inf")
+        # The step in progress, and whether it was cancelled to start another at once.
         self.running: asyncio.Task[None] | None = None
-        self.nudged = False
-        # The store's revision that the sink is up to date with; None before the
-        # first list, and when the history since is gone.
+        self.query_requested = False
+        # The store's revision up to which the sink is current; None before the first
+        # list, and after the store has discarded the history since.
         self.revision: int | None = None
-        # When the store last answered, and since when it has not; monotonic.
+        # When the store last answered, and when it began to fail; monotonic seconds.
         self.confirmed_at = float("-inf")
         self.failing_since: float | None = None
-        # The revision up to which something has changed, for those who wait here.
+        # The revision of the last change, for VMs that wait here for changes.
         self.changed_revision = 0
-        # Set, and replaced, whenever something changes or the store goes or returns.
-        self.stepped = asyncio.Event()
+        # Set and replaced whenever an object changes or the store's availability does.
+        self.state_changed = asyncio.Event()
 
     def age(self) -> float:
-        """:returns: seconds since the store last confirmed what is known."""
+        """Return the seconds since the store last confirmed the state held here."""
         return monotonic() - self.confirmed_at
 
     async def run(self) -> None:
-        """Follow the kind for ever."""
+        """Follow the kind until cancelled."""
         while True:
-            self.nudged = False
+            self.query_requested = False
             self.running = asyncio.ensure_future(self.step())
             try:
                 await self.running
             except asyncio.CancelledError:
-                if not self.nudged:
+                if not self.query_requested:
                     self.running.cancel()
                     raise
             except HistoryGoneError:
                 self.revision = None
             except PlatformError as error:
-                self._failed(error)
-                await asyncio.gather(self._hear_peers(), asyncio.sleep(RETRY_SECONDS))
-
-    async def _hear_peers(self) -> None:
-        """Take over what a peer knows that the store still serves."""
-        data = await self.ask_peers(self.feed.kind, self.revision or 0)
+                self._record_failure(error)
+                await asyncio.gather(
+                    self._apply_peer_listing(), asyncio.sleep(RETRY_SECONDS)
+                )
+
+    async def _apply_peer_listing(self) -> None:
+        """Apply the list of a peer that the store still serves."""
+        data = await self.query_peers(self.feed.kind, self.revision or 0)
         if not data:
             return
         try:
             listing = self.feed.read_export(data)
         except MessageError as error:
-            log.warn("a peer's knowledge is not taken over: {}", error)
+            log.warn("ignored a list from a peer that cannot be read: {}", error)
             return
         if self.revision is not None and listing.revision <= self.revision:
             return
@@ -208,9 +224,9 @@
         self.revision = listing.revision
 
     def query_now(self) -> None:
-        """Ask anew at once: the call under way may never be answered."""
+        """Query the store again at once, as the call in progress may never return."""
         if self.running is not None and not self.running.done():
-            self.nudged = True
+            self.query_requested = True
             self.running.cancel()
 
     async def step(self) -> None:
@@ -218,13 +234,13 @@
         if self.revision is None:
             await self.relist()
             return
-        await asyncio.sleep(self.asked_at + self.gap - monotonic())
-        self.asked_at = monotonic()
+        await asyncio.sleep(self.queried_at + self.gap - monotonic())
+        self.queried_at = monotonic()
         failing = self.failing_since is not None
         await self._watch(PROBE_SECONDS if failing else self.seconds)
 
     async def refresh(self) -> None:
-        """Take in at once what has changed, beside the step that is under way."""
+        """Apply changes at once, concurrently with the step in progress."""
         if self.revision is None:
             await self.relist()
         else:
@@ -233,34 +249,34 @@
     async def _watch(self, seconds: float) -> None:
         assert self.revision is not None
         changes = await self.feed.watch(self.revision, seconds)
-        self._answered()
+        self._record_success()
         if changes.changes:
             self.sink.apply_changes(changes)
-            self._changed(changes.revision)
-        # A list may have been read meanwhile, or be needed since.
+            self._record_change(changes.revision)
+        # Meanwhile, a list may have been read, or a new list may have become necessary.
         if self.revision is not None:
             self.revision = max(self.revision, changes.revision)
 
     async def relist(self) -> None:
-        """Read everything anew."""
+        """Read the full list again."""
         listing = await self.feed.list()
-        self._answered()
+        self._record_success()
         if self.revision is not None and listing.revision < self.revision:
             return
         self.sink.apply_listing(listing)
-        self._changed(listing.revision)
+        self._record_change(listing.revision)
         self.revision = listing.revision
 
-    def _changed(self, revision: int) -> None:
+    def _record_change(self, revision: int) -> None:
         self.changed_revision = max(self.changed_revision, revision)
-        self._wake()
+        self._notify_waiters()
 
-    def _wake(self) -> None:
-        """Let those who wait for a step look again."""
-        self.stepped.set()
-        self.stepped = asyncio.Event()
+    def _notify_waiters(self) -> None:
+        """Wake the tasks that wait for a change of state."""
+        self.state_changed.set()
+        self.state_changed = asyncio.Event()
 
-    def _answered(self) -> None:
+    def _record_success(self) -> None:
         self.confirmed_at = monotonic()
         if self.failing_since is None:
             return
@@ -271,14 +287,14 @@
         )
         if self.feed.watching:
             self.on_return()
-        self._wake()
+        self._notify_waiters()
 
-    def _failed(self, error: PlatformError) -> None:
+    def _record_failure(self, error: PlatformError) -> None:
         self.context.metrics.count(f"store_failures_{self.feed.kind}")
         if self.failing_since is not None:
             return
         self.failing_since = monotonic()
-        self._wake()
+        self._notify_waiters()
         age = "never" if self.confirmed_at < 0 else f"{self.age():.1f} s ago"
         self.context.timeline.emit(
             EventKind.PLATFORM_DOWN,
--- a/walnutquay/coordination/store/knowledge.py
+++ b/walnutquay/coordination/store/knowledge.py
@@ -1,9 +1,9 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What this VM knows from the store: configuration, endpoints, roll-out orders.
+"""A VM's copy of the store's objects: configuration, endpoints and orders.
 
-Nothing that is known is forgotten because the store is silent, and nothing goes
-back to an older state.
+Objects are kept while the store does not answer, and are never replaced by an older
+state.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from walnutquay.coordination.process.tasks import Tasks
 from walnutquay.coordination.store.following import (
     WATCH_GAP_SECONDS,
-    AskPeers,
     Feed,
     Follower,
+    QueryPeers,
     WatchTimes,
 )
 from walnutquay.coordination.store.sinks import (
@@ -41,25 +41,25 @@
 
 OVERDUE_CHECK_SECONDS = 0.1
 MILLISECONDS = 1000.0
-# A request that would be denied waits so long for the store to confirm that.
+# The time for which a request that would be denied waits for the store to confirm that.
 CONFIRM_SECONDS = 0.4
-# How often it is looked whether enough is known, right after a start.
+# The interval at which readiness is checked after a start.
 READY_POLL_SECONDS = 0.01
-# What the store confirmed so short a time ago is not asked again: changes come within
-# some 10 ms, and callers may use them once they are acknowledged.
+# State that the store confirmed this recently is not queried again.  Changes arrive
+# within some 10 ms, and callers may use them once they are acknowledged.
 FRESH_SECONDS = 0.1
 
 
 class Knowledge:
-    """All that this VM follows in the store.
-
-    :param context: what this process shares.
-    :param catalogues: the operators' configuration.
-    :param instances: the running endpoints.
-    :param orders: the roll-out orders.
-    :param halls: the data halls that are emptied.
-    :param ask_peers: asks the other VMs while the store does not answer.
-    :param times: how long one watch of each kind waits.
+    """The objects that this VM follows in the store.
+
+    :param context: the shared context of this process.
+    :param catalogues: the feed of the operators' configuration.
+    :param instances: the feed of the running endpoints.
+    :param orders: the feed of the roll-out orders.
+    :param halls: the feed of the orders that empty data halls.
+    :param query_peers: queries the other VMs while the store does not answer.
+    :param times: the time for which one watch of each kind waits.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         instances: Feed[Instance],
         orders: Feed[RolloutOrder],
         halls: Feed[EmptiedHall],
-        ask_peers: AskPeers,
+        query_peers: QueryPeers,
         times: WatchTimes,
     ) -> None:
         self.context = context
@@ -82,16 +82,16 @@
             catalogues,
             self.catalogue,
             times.configuration,
-            self._store_returned,
-            ask_peers,
+            self._on_store_returned,
+            query_peers,
         )
         self.instance_follower = Follower(
             context,
             instances,
             self.instances,
             times.endpoints,
-            self._entries_return,
-            ask_peers,
+            self._expect_lapsed_entries,
+            query_peers,
             WATCH_GAP_SECONDS,
         )
         self.order_follower = Follower(
@@ -99,8 +99,8 @@
             orders,
             self.orders,
             times.orders,
-            _nothing,
-            ask_peers,
+            _do_nothing,
+            query_peers,
             WATCH_GAP_SECONDS,
         )
         self.hall_follower = Follower(
@@ -108,90 +108,93 @@
             halls,
             self.halls,
             times.halls,
-            _nothing,
-            ask_peers,
+            _do_nothing,
+            query_peers,
             WATCH_GAP_SECONDS,
         )
         self.tasks = Tasks()
-        # When this VM last woke after it was away, and the look at the store that was
-        # begun then.
+        # When this VM last resumed after it was suspended, and the task that confirms
+        # its state with the store since then.
         self.woke_at = float("-inf")
-        self.settling: asyncio.Task | None = None
-        # When the store last returned after a time of silence; monotonic seconds.
+        self.wake_confirmation: asyncio.Task | None = None
+        # When the store last became available again; monotonic seconds.
         self.returned_at = float("-inf")
-        # What else must be so before callers are served.
+        # Further conditions that must be true before callers are served.
         self.conditions: list[Callable[[], bool]] = []
-        # The one confirmation that is under way, shared by all who wait for it.
-        self.confirming: asyncio.Task | None = None
+        # The confirmation in progress, shared by all requests that wait for it.
+        self.confirmation: asyncio.Task | None = None
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start to follow the store and to check for overdue endpoints."""
         self.follow()
-        self.context.timers.on_wake(self._woke)
+        self.context.timers.on_wake(self._on_wake)
         self.context.timers.every(
             "overdue endpoints", OVERDUE_CHECK_SECONDS, self.instances.drop_overdue
         )
 
     def follow(self) -> None:
-        """Hear of changes from now on."""
+        """Start to follow each kind."""
         for follower in self.followers():
             self.tasks.forever(follower.feed.kind, follower.run)
 
-    def _woke(self, seconds: float) -> None:
-        """Have all that is known confirmed: it is as old as this VM was away.
+    def _on_wake(self, seconds: float) -> None:
+        """Confirm all state, which has not been updated while this VM was suspended.
 
-        :param seconds: for how long.
+        :param seconds: the time for which it was suspended.
         """
         self.woke_at = monotonic()
         self.context.timeline.emit(
             EventKind.WOKE,
-            detail="what is known is confirmed before it is used",
+            detail="confirming all state with the store before it is used",
             slept_ms=round(seconds * MILLISECONDS),
         )
-        self.settling = self.tasks.spawn(self._confirm_all())
+        self.wake_confirmation = self.tasks.spawn(self._confirm_all())
 
     async def _confirm_all(self) -> None:
-        await asyncio.gather(*(self._confirm(each) for each in self.followers()))
+        await asyncio.gather(
+            *(self._confirm(follower) for follower in self.followers())
+        )
 
     async def wait_confirmed(self) -> None:
-        """Wait until what is known is not from before this VM was away.
+        """Wait until the state from before a suspension of this VM is confirmed.
 
-        Not for long, though: where the store is away too, what is known is used.
+        The wait is limited: if the store is unavailable too, the state is used
+        unconfirmed.
         """
         self.context.timers.look()
-        if self.settling is not None and not self.settling.done():
-            await asyncio.wait([self.settling], timeout=CONFIRM_SECONDS)
+        if self.wake_confirmation is not None and not self.wake_confirmation.done():
+            await asyncio.wait([self.wake_confirmation], timeout=CONFIRM_SECONDS)
 
-    def _store_returned(self) -> None:
-        """Have the kinds with long waits asked anew."""
-        self._entries_return()
+    def _on_store_returned(self) -> None:
+        """Query the kinds with long waits again, as the store is available again."""
+        self._expect_lapsed_entries()
         self.instance_follower.query_now()
         self.order_follower.query_now()
         self.hall_follower.query_now()
 
-    def _entries_return(self) -> None:
-        """Expect that entries which lapsed with the store come back soon."""
+    def _expect_lapsed_entries(self) -> None:
+        """Expect entries that expired during the store's outage to return soon."""
         self.returned_at = monotonic()
-        self.instances.doubt_deletions()
+        self.instances.mark_deletions_unconfirmed()
 
     def store_returned_to_watcher(self, ago: float) -> None:
-        """Take in that the store has returned to the VM that watches it for this one.
+        """Handle the store's return to the VM that watches it on behalf of this one.
 
-        If another watcher has answered meanwhile, only that VM was cut off: nothing
-        lapsed, and a deletion that is doubted then is served up to 0.4 s longer than
-        leaving endpoints may be.
+        If another watcher has answered meanwhile, only that VM was cut off and no entry
+        has expired.  Treating deletions as unconfirmed would then cause deleted
+        endpoints to be served up to 0.4 s longer than leaving endpoints may be.
 
-        :param ago: seconds since.
+        :param ago: the seconds since the store returned.
         """
         if self.instance_follower.failing_since is not None:
-            self.instances.doubt_deletions(ago)
+            self.instances.mark_deletions_unconfirmed(ago)
 
     def stop(self) -> None:
-        """Follow no more; what is known stays."""
+        """Stop following; the state is kept."""
         self.tasks.stop()
 
     def followers(self) -> tuple[Follower, ...]:
-        """:returns: the followers, one for each kind."""
+        """Return the followers, one for each kind."""
         return (
             self.catalogue_follower,
             self.instance_follower,
@@ -200,28 +203,31 @@
         )
 
     def answer(self, envelope: Envelope) -> KnownIs:
-        """Tell another VM what is known of one kind of the store's objects.
+        """Answer another VM's query for the list of one kind of the store's objects.
 
-        :param envelope: its question.
+        :param envelope: the query.
         """
-        question = envelope.body
-        assert isinstance(question, AskKnown)
+        query = envelope.body
+        assert isinstance(query, AskKnown)
         for follower in self.followers():
-            if follower.feed.kind == question.kind:
-                return KnownIs(follower.feed.export(question.revision))
+            if follower.feed.kind == query.kind:
+                return KnownIs(follower.feed.export(query.revision))
         return KnownIs(b"")
 
     def export_lists(self) -> tuple[KnownList, ...]:
-        """:returns: all that is known, for a VM that starts; nothing until all is."""
+        """Export the lists of all kinds, for a VM that starts.
+
+        :returns: the lists; an empty tuple until there is a list of every kind.
+        """
         lists = tuple(
             KnownList(follower.feed.kind, follower.feed.export(0))
             for follower in self.followers()
         )
-        return lists if all(known.data for known in lists) else ()
+        return lists if all(exported.data for exported in lists) else ()
 
     @property
     def ready(self) -> bool:
-        """Whether enough is known to serve callers."""
+        """Whether this VM has enough state to serve callers."""
         return (
             self.catalogue.current is not None
             and self.instances.listed
@@ -231,31 +237,31 @@
         )
 
     async def wait_ready(self, seconds: float) -> None:
-        """Wait until enough is known, but not for long.
+        """Wait until this VM has enough state to serve callers, or time is up.
 
-        :param seconds: how long at the most.
+        :param seconds: the longest time to wait.
         """
-        end = monotonic() + seconds
-        while not self.ready and monotonic() < end:  # noqa: ASYNC110
+        deadline = monotonic() + seconds
+        while not self.ready and monotonic() < deadline:  # noqa: ASYNC110
             await asyncio.sleep(READY_POLL_SECONDS)
 
     async def confirm(self) -> None:
-        """Ask the store for the newest configuration, but do not wait for long.
+        """Query the store for the newest configuration, with a short time limit.
 
-        Called before a caller is told that a key or a route does not exist: the
+        Called before a caller is answered that a key or a route does not exist, as the
         caller may have learnt of it before this VM has.
         """
         if self.catalogue_follower.age() < FRESH_SECONDS:
             return
-        if self.confirming is None or self.confirming.done():
-            self.confirming = self.tasks.spawn(self._confirm(self.catalogue_follower))
-        await asyncio.wait([self.confirming], timeout=CONFIRM_SECONDS)
+        if self.confirmation is None or self.confirmation.done():
+            self.confirmation = self.tasks.spawn(self._confirm(self.catalogue_follower))
+        await asyncio.wait([self.confirmation], timeout=CONFIRM_SECONDS)
 
     async def _confirm(self, follower: Follower) -> None:
         try:
             await self._refresh(follower)
         except PlatformError as error:
-            log.warn("{} could not be confirmed: {}", follower.feed.kind, error)
+            log.warn("cannot confirm {} with the store: {}", follower.feed.kind, error)
 
     async def _refresh(self, follower: Follower) -> None:
         try:
@@ -264,5 +270,5 @@
             await follower.relist()
 
 
-def _nothing() -> None:
-    """Do nothing: operators' orders do not lapse."""
+def _do_nothing() -> None:
+    """Do nothing: operators' orders do not expire while the store is unavailable."""
--- a/walnutquay/coordination/store/relaying.py
+++ b/walnutquay/coordination/store/relaying.py
@@ -1,10 +1,10 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Changes of the store's objects, passed on from VMs that watch it to the others.
+"""Changes of the store's objects, relayed from VMs that watch it to the others.
 
-Calls to the store have a price, and its rates are those of the whole fleet.  In a
-large fleet a few VMs of each data hall watch the store, and the others wait for
-changes at them.  A VM that finds no such peer watches the store itself.
+Each call to the store has a price, and its rate limits apply to the whole fleet.  In a
+large fleet, a few VMs of each data hall watch the store, and the others query them for
+changes.  A VM that finds no such peer watches the store itself.
 """
 
 from __future__ import annotations
@@ -35,64 +35,73 @@
 
 log = logbook.Logger(__name__)
 
-# How long a watcher waits for a change before it answers that there is none, for what
-# has to be known at once: roll-out orders reach all VMs within 1 s.
+# The time for which a watcher waits for a change before it answers that there is none,
+# for objects that must be distributed quickly.  Roll-out orders reach all VMs within
+# 1 s.
 POLL_SECONDS = 0.5
 Item = TypeVar("Item")
 
 
 class ChangeFeed(Feed[Item], Protocol[Item]):
-    """A feed whose changes can be passed on."""
+    """A feed whose changes can be relayed."""
 
-    # Objects that cannot be read, by name, with the revision of each.
+    # The revisions of objects that cannot be read, by name.
     unreadable: Mapping[str, int]
 
     def export_changes(self, revision: int) -> bytes:
-        """:param revision: the store's revision that a peer knows.
+        """Export changes for a peer.
 
-        :returns: what has changed since.
+        :param revision: the store's revision that the peer has.
+        :returns: the changes since.
         """
 
     def read_changes(self, data: bytes) -> Changes[Item]:
-        """:param data: the changes that a peer has exported."""
+        """Read changes that a peer exported.
+
+        :param data: the exported changes.
+        """
 
     def read_whole(self, data: bytes) -> Changes[Item]:
-        """:param data: the list that a peer has exported."""
+        """Read a full list that a peer exported, as changes.
+
+        :param data: the exported list.
+        """
 
 
 class RelayedFeed(Generic[Item]):
-    """A feed that hears of changes from a watcher, where this VM is none itself.
-
-    :param direct: the feed of the store.
-    :param watchers: who watches the store.
-    :param on_returned: told, before the changes, how many seconds ago the store
-        returned to the watcher that sends them.
-    :param poll: how long a watcher may wait for a change; seconds.
-    :param starting: gives the first list, if another VM tells it; None for the store.
+    """A feed that receives changes from a watcher, unless this VM is a watcher itself.
+
+    :param direct: the feed that queries the store.
+    :param watchers: the VMs that watch the store.
+    :param on_store_returned: called before changes are returned, with the seconds since
+        the store returned to the watcher that sent them.
+    :param poll: the time for which a watcher may wait for a change, in seconds.
+    :param starting: provides the first list if another VM sends it; None to read the
+        first list from the store.
     """
 
     def __init__(
         self,
         direct: ChangeFeed[Item],
         watchers: Watchers,
-        on_returned: Callable[[float], None] = lambda ago: None,
+        on_store_returned: Callable[[float], None] = lambda ago: None,
         poll: float | None = None,
         starting: StartingKnowledge | None = None,
     ) -> None:
         self.direct = direct
         self.watchers = watchers
-        self.on_returned = on_returned
+        self.on_store_returned = on_store_returned
         self.poll = POLL_SECONDS if poll is None else poll
         self.starting = starting
         self.kind = direct.kind
-        # Whether the store itself was watched last.
+        # Whether the last watch was of the store itself.
         self.watching = True
 
     async def list(self) -> Listing[Item]:
-        """:returns: all objects, from other VMs or from the store itself.
+        """Return all objects, from another VM or from the store itself.
 
-        The first list may come from others: in a fleet of 195 VMs each list from the
-        store would cost as many calls whenever all start.
+        The first list may come from another VM.  In a fleet of 195 VMs, reading a list
+        from the store would otherwise take as many calls whenever all VMs start.
         """
         starting, self.starting = self.starting, None
         data = b"" if starting is None else await starting.list_of(self.kind)
@@ -100,15 +109,16 @@
             try:
                 return self.direct.read_export(data)
             except MessageError as error:
-                log.warn("a peer's list is not taken over: {}", error)
+                log.warn("ignored a list from a peer that cannot be read: {}", error)
         return await self.direct.list()
 
     async def watch(self, revision: int, seconds: float) -> Changes[Item]:
-        """:param revision: the revision after which changes count.
+        """Wait for changes.
 
-        :param seconds: how long to wait for one.
+        :param revision: the revision after which changes are returned.
+        :param seconds: the longest time to wait.
         :raises HistoryGoneError: if the kind must be listed again.
-        :raises PlatformError: if the store does not answer, here or at the watchers.
+        :raises PlatformError: if the store does not answer this VM or its watchers.
         """
         await self.watchers.wait_for_vms()
         self.watching = self.watchers.includes_this()
@@ -123,35 +133,41 @@
     def _read(self, answer: ChangesAre) -> Changes[Item]:
         if answer.failing:
             raise PlatformUnavailableError(
-                "the store does not answer its watchers", step="watch", peer=self.kind
+                "the store does not answer the VMs that watch it",
+                step="watch",
+                peer=self.kind,
             )
         if math.isfinite(answer.returned):
-            self.on_returned(answer.returned)
+            self.on_store_returned(answer.returned)
         if answer.whole:
             return self.direct.read_whole(answer.data)
         return self.direct.read_changes(answer.data)
 
     @property
     def unreadable(self) -> Mapping[str, int]:
-        """Objects that cannot be read, by name."""
+        """The revisions of objects that cannot be read, by name."""
         return self.direct.unreadable
 
     def export(self, revision: int) -> bytes:
-        """:param revision: what a peer knows.
+        """Export the list for a peer.
 
-        :returns: what is known here, if it is newer.
+        :param revision: the revision that the peer has.
+        :returns: the list, if it is newer; otherwise empty bytes.
         """
         return self.direct.export(revision)
 
     def read_export(self, data: bytes) -> Listing[Item]:
-        """:param data: what a peer has exported."""
+        """Read a list that a peer exported.
+
+        :param data: the exported list.
+        """
         return self.direct.read_export(data)
 
 
 class Relay:
-    """Answers VMs that wait here for changes of the store.
+    """Answers VMs that query this VM for changes of the store.
 
-    :param knowledge: follows the kinds of objects, by relayed feeds.
+    :param knowledge: follows all kinds of objects through relayed feeds.
     """
 
     def __init__(self, knowledge: Knowledge) -> None:
@@ -161,37 +177,37 @@
         }
 
     async def answer(self, envelope: Envelope) -> ChangesAre:
-        """Wait for changes, and pass them on.
+        """Wait for changes, and relay them.
 
-        :param envelope: the question.
+        :param envelope: the query.
         """
-        question = envelope.body
-        assert isinstance(question, AskChanges)
-        follower = self.followers[question.kind]
+        query = envelope.body
+        assert isinstance(query, AskChanges)
+        follower = self.followers[query.kind]
         feed = follower.feed
         assert isinstance(feed, RelayedFeed)
         if not feed.watching:
             return ChangesAre(direct=False)
-        await self._wait(follower, question)
+        await self._wait(follower, query)
         if follower.failing_since is not None or follower.revision is None:
             return ChangesAre(failing=True)
         returned = monotonic() - self.knowledge.returned_at
         try:
-            data = feed.direct.export_changes(question.revision)
+            data = feed.direct.export_changes(query.revision)
         except HistoryGoneError:
-            data = feed.direct.export(question.revision)
+            data = feed.direct.export(query.revision)
             return ChangesAre(data, whole=True, returned=returned)
         return ChangesAre(data, returned=returned)
 
-    async def _wait(self, follower: Follower, question: AskChanges) -> None:
-        """Wait until something changes, the store goes or returns, or time is over."""
-        failing = follower.failing_since
+    async def _wait(self, follower: Follower, query: AskChanges) -> None:
+        """Wait until an object or the store's availability changes, or time is up."""
+        failing_before = follower.failing_since
         try:
-            async with asyncio.timeout(question.seconds):
+            async with asyncio.timeout(query.seconds):
                 while (
-                    follower.changed_revision <= question.revision
-                    and follower.failing_since == failing
+                    follower.changed_revision <= query.revision
+                    and follower.failing_since == failing_before
                 ):
-                    await follower.stepped.wait()
+                    await follower.state_changed.wait()
         except TimeoutError:
             return
--- a/walnutquay/coordination/store/sinks.py
+++ b/walnutquay/coordination/store/sinks.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What this VM believes of each kind of the store's objects, as changes come in."""
+"""Sinks, which hold the current objects and notify listeners of changes."""
 
 from __future__ import annotations
 
@@ -21,37 +21,44 @@
 from walnutquay.state.store.orders import RolloutOrder
 from walnutquay.transport.timers import monotonic
 
-# Endpoints write their entries again within some two seconds of the store's
-# return; they may be used for so long, and no longer than two.
+# The time for which endpoints without an entry stay in use after the store's return.
+# Endpoints write their entries again within some two seconds of it, and must not be
+# used for more than two seconds without an entry.
 OVERDUE_SECONDS = 1.9
 
 
 class CatalogueSink:
-    """Takes in the operators' configuration.
+    """The operators' configuration that is in force on this VM.
 
-    :param context: what this process shares.
+    :param context: the shared context of this process.
     """
 
     def __init__(self, context: Context) -> None:
         self.context = context
         self.current: Catalogue | None = None
-        # When the version in force came into force here; monotonic seconds.
-        self.taken_at = 0.0
+        # When the current version came into force here; monotonic seconds.
+        self.in_force_since = 0.0
         self.listeners: list[Callable[[Catalogue], None]] = []
 
     def apply_listing(self, listing: Listing[Catalogue]) -> None:
-        """:param listing: all configurations: one, or none yet."""
+        """Apply a full list.
+
+        :param listing: all configurations: one, or none yet.
+        """
         for catalogue in listing.items.values():
             self.apply(catalogue)
 
     def apply_changes(self, changes: Changes[Catalogue]) -> None:
-        """:param changes: newer configurations, in order."""
+        """Apply changes.
+
+        :param changes: newer configurations, in order.
+        """
         for change in changes.changes:
             if change.item is not None:
                 self.apply(change.item)
 
     def apply(self, catalogue: Catalogue) -> bool:
-        """Put a configuration in force, unless it is an older one.
+        """Put a configuration in force, unless it is no newer than the current one.
 
         :param catalogue: the configuration.
         :returns: whether it is newer than the one in force.
@@ -59,7 +66,7 @@
         if self.current is not None and catalogue.version <= self.current.version:
             return False
         self.current = catalogue
-        self.taken_at = monotonic()
+        self.in_force_since = monotonic()
         self.context.timeline.emit(
             EventKind.CONFIGURED,
             version=str(catalogue.version),
@@ -72,25 +79,29 @@
 
 
 class InstanceSink:
-    """Takes in the running endpoints.
+    """The running endpoints that this VM knows.
 
-    :param context: what this process shares.
+    :param context: the shared context of this process.
     """
 
     def __init__(self, context: Context) -> None:
         self.context = context
         self.registry = InstanceRegistry(OVERDUE_SECONDS)
-        # Whether a whole list has ever been read.
+        # Whether a full list has ever been read.
         self.listed = False
         # The versions of each service in the first list.
         self.first_versions: dict[ServiceName, set[VersionName]] = {}
-        # Told of each instance that is new, leaving or gone.
+        # Called for each instance that is new or changed, and with None for each that
+        # is gone.
         self.listeners: list[Callable[[EndpointName, Instance | None], None]] = []
-        # Told of each endpoint that has started again under its name.
+        # Called for each endpoint that has restarted under its name.
         self.restart_listeners: list[Callable[[EndpointName], None]] = []
 
     def apply_listing(self, listing: Listing[Instance]) -> None:
-        """:param listing: all endpoints' entries."""
+        """Apply a full list.
+
+        :param listing: the entries of all endpoints.
+        """
         now = monotonic()
         if not self.listed:
             for instance in listing.items.values():
@@ -100,36 +111,41 @@
         for instance in listing.items.values():
             self._put(instance, now)
         for name in self.registry.replace_all(listing.items.values(), now):
-            self._tell_gone(name, "not listed")
+            self._notify_gone(name, "not listed")
 
     def apply_changes(self, changes: Changes[Instance]) -> None:
-        """:param changes: entries that have changed, in order."""
+        """Apply changes.
+
+        :param changes: the entries that have changed, in order.
+        """
         now = monotonic()
         for change in changes.changes:
-            self._take_change(change, now)
+            self._apply_change(change, now)
+
+    def mark_deletions_unconfirmed(self, ago: float = 0.0) -> None:
+        """Treat deletions as unconfirmed for a while after the store's return.
 
-    def doubt_deletions(self, ago: float = 0.0) -> None:
-        """Doubt deletions for a while: entries lapse while the store is away.
+        Entries expire while the store is unavailable.
 
-        :param ago: seconds since the store has returned.
+        :param ago: the seconds since the store returned.
         """
-        self.registry.doubt_deletions(monotonic() - ago)
+        self.registry.mark_deletions_unconfirmed(monotonic() - ago)
 
     def drop_overdue(self) -> None:
-        """Forget the endpoints whose entries have not come back."""
+        """Remove the endpoints whose entries were not written again in time."""
         for name in self.registry.drop_overdue(monotonic()):
-            self._tell_gone(name, "its entry did not come back")
+            self._notify_gone(name, "its entry was not written again in time")
 
-    def _take_change(self, change: Change[Instance], now: float) -> None:
+    def _apply_change(self, change: Change[Instance], now: float) -> None:
         if change.item is not None:
             self._put(change.item, now)
         elif self.registry.remove(EndpointName(change.name), now):
-            self._tell_gone(EndpointName(change.name), "its entry was deleted")
+            self._notify_gone(EndpointName(change.name), "its entry was deleted")
 
     def _put(self, instance: Instance, now: float) -> None:
         before = self.registry.known.get(instance.name)
         if before is not None and not before.is_same_start(instance):
-            self._tell_gone(instance.name, "it has started again")
+            self._notify_gone(instance.name, "it has restarted")
             for listener in self.restart_listeners:
                 listener(instance.name)
             before = None
@@ -149,7 +165,7 @@
         for listener in self.listeners:
             listener(instance.name, instance)
 
-    def _tell_gone(self, name: EndpointName, reason: str) -> None:
+    def _notify_gone(self, name: EndpointName, reason: str) -> None:
         self.context.timeline.emit(
             EventKind.ENDPOINT_GONE, endpoint=name, detail=reason
         )
@@ -158,9 +174,9 @@
 
 
 class OrderSink:
-    """Takes in the operators' roll-out orders.
+    """The operators' roll-out orders.
 
-    :param context: what this process shares.
+    :param context: the shared context of this process.
     """
 
     def __init__(self, context: Context) -> None:
@@ -170,7 +186,10 @@
         self.listeners: list[Callable[[RolloutOrder], None]] = []
 
     def apply_listing(self, listing: Listing[RolloutOrder]) -> None:
-        """:param listing: all orders."""
+        """Apply a full list.
+
+        :param listing: all orders.
+        """
         self.listed = True
         for name in [name for name in self.orders if name not in listing.items]:
             del self.orders[name]
@@ -178,7 +197,10 @@
             self.apply(order)
 
     def apply_changes(self, changes: Changes[RolloutOrder]) -> None:
-        """:param changes: orders that have changed, in order."""
+        """Apply changes.
+
+        :param changes: the orders that have changed, in order.
+        """
         for change in changes.changes:
             if change.item is None:
                 self.orders.pop(change.name, None)
@@ -186,7 +208,7 @@
                 self.apply(change.item)
 
     def apply(self, order: RolloutOrder) -> None:
-        """Take in an order, unless it is an older state of one that is known.
+        """Apply an order, unless it is no newer than the known state of that order.
 
         :param order: the order.
         """
@@ -204,32 +226,38 @@
 
 
 class HallSink:
-    """Takes in which data halls are emptied.
+    """The orders that empty data halls.
 
-    :param context: what this process shares.
-    :param emptied: where that is kept.
+    :param context: the shared context of this process.
+    :param emptied: stores the orders.
     """
 
     def __init__(self, context: Context, emptied: EmptiedHalls) -> None:
         self.context = context
         self.emptied = emptied
         self.listed = False
-        # Told of each data hall whose endpoints may be sent requests again.
+        # Called for each data hall whose endpoints may be sent requests again.
         self.back_listeners: list[Callable[[HallName], None]] = []
 
     def apply_listing(self, listing: Listing[EmptiedHall]) -> None:
-        """:param listing: all orders."""
+        """Apply a full list.
+
+        :param listing: all orders.
+        """
         self.listed = True
         for hall in self.emptied.missing(listing.items):
-            self._take_back(hall)
+            self._restore(hall)
         for order in listing.items.values():
             self._put(order)
 
     def apply_changes(self, changes: Changes[EmptiedHall]) -> None:
-        """:param changes: orders that have changed, in order."""
+        """Apply changes.
+
+        :param changes: the orders that have changed, in order.
+        """
         for change in changes.changes:
             if change.item is None:
-                self._take_back(HallName(change.name))
+                self._restore(HallName(change.name))
             else:
                 self._put(change.item)
 
@@ -237,13 +265,13 @@
         if self.emptied.put(order):
             self.context.timeline.emit(
                 EventKind.HALL_EMPTIED,
-                detail="its endpoints get nothing more",
+                detail="its endpoints are sent no new requests",
                 hall=order.hall,
                 revision=order.revision,
             )
 
-    def _take_back(self, hall: HallName) -> None:
-        if not self.emptied.take_back(hall):
+    def _restore(self, hall: HallName) -> None:
+        if not self.emptied.restore(hall):
             return
         self.context.timeline.emit(
             EventKind.HALL_BACK,
--- a/walnutquay/state/store/__init__.py
+++ b/walnutquay/state/store/__init__.py
@@ -1,7 +1,8 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What the platform's store tells: configuration, endpoints and orders.
+"""Objects read from the platform's store: configuration, endpoints and orders.
 
-Decided here: which entry of an endpoint counts, and when one without an entry is gone;
-from entries, their order, and when the store was away.
+This package decides which entry of an endpoint is current, and when an endpoint
+without an entry is removed.  The decisions depend on the entries, their order, and the
+times at which the store was unavailable.
 """
--- a/walnutquay/state/store/catalogue.py
+++ b/walnutquay/state/store/catalogue.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What operators have set on the platform: routes, services, keys and limits."""
+"""The operators' configuration of the platform: routes, services, keys and limits."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 )
 from walnutquay.state.store.parts import Organisation
 
-# Whose requests those without a key are, on routes that need none.
+# The organisation of requests without a key, on routes that need none.
 PUBLIC = Organisation.model_construct(name="public")
 
 
 class RouteKind(Enum):
-    """What may be done with the requests of a route."""
+    """How often the requests of a route may run, and whether answers are streamed."""
 
     # May run any number of times.
     SAFE = "safe"
-    # May run once at most.
+    # May run at most once.
     UNSAFE = "unsafe"
     # Answered by a series of events.
     STREAM = "stream"
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Destination:
-    """A service that gets a share of a route's requests.
+    """A service that receives a share of a route's requests.
 
     :param service: the service.
     :param weight: its share, relative to the other destinations.
@@ -45,24 +45,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Requests of one host and path prefix, and how they are to be served.
+    """The requests for one host and path prefix, and how they are served.
 
     :param name: the route's name.
     :param host: the host that callers name, in lower case.
-    :param prefix: what the path begins with.
-    :param kind: what may be done with its requests.
+    :param prefix: the prefix that the path must have.
+    :param kind: how often its requests may run, and whether answers are streamed.
     :param destinations: the services that serve it.
-    :param timeout_seconds: how long a request may be held at the most.
-    :param objective_seconds: an answer (of a stream: its first event) within
-        this time is worth the most.
-    :param pause_seconds: the longest pause between two events of a good stream.
-    :param priority: 0 is the most urgent.
-    :param attempts: how many endpoints one request may be sent to.
+    :param timeout_seconds: the longest time for which a request may be held.
+    :param objective_seconds: the time within which an answer (for a stream: its first
+        event) has its full value.
+    :param pause_seconds: the longest acceptable pause between two events of a stream.
+    :param priority: the priority; 0 is the most urgent.
+    :param attempts: the number of endpoints that one request may be sent to.
     :param public: whether callers need no key.
-    :param cached: whether prompts share beginnings that endpoints keep.
-    :param resumable: whether a stream may go on at another endpoint.
-    :param models: models that may answer, smallest first; empty where the
-        caller names the one.
+    :param cached: whether prompts share prefixes that endpoints cache.
+    :param resumable: whether a stream may continue at another endpoint.
+    :param models: the models that may answer, smallest first; empty if the caller
+        names the model.
     :param regions: the regions in which its requests may run; empty for all.
     """
 
@@ -88,14 +88,15 @@
         return self.kind is RouteKind.SAFE or self.resumable
 
     def destination(self, draw: float) -> ServiceName:
-        """Choose a service by the destinations' weights.
+        """Choose a service according to the weights of the destinations.
 
-        :param draw: from 0 up to but not including 1.
+        :param draw: a random number from 0 up to but not including 1.
+        :returns: the service.
         """
-        left = draw * sum(item.weight for item in self.destinations)
+        remaining = draw * sum(item.weight for item in self.destinations)
         for item in self.destinations:
-            left -= item.weight
-            if left < 0:
+            remaining -= item.weight
+            if remaining < 0:
                 return item.service
         return self.destinations[-1].service
 
@@ -105,7 +106,7 @@
     """A model that the engines of a service can run.
 
     :param name: its name.
-    :param cost: price of a thousand tokens made.
+    :param cost: the price of a thousand generated tokens.
     """
 
     name: ModelName
@@ -114,16 +115,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutedService:
-    """A service that routes name.
+    """A service that routes may have as a destination.
 
     :param name: its name.
-    :param connections: connections that each endpoint takes, of all VMs together.
+    :param connections: the number of connections that each endpoint accepts from all
+        VMs together.
     :param engine: whether its endpoints run models.
-    :param memory_tokens: tokens that an engine's memory holds; 0 for others.
+    :param memory_tokens: the number of tokens that fit in an engine's memory; 0 for
+        endpoints that run no models.
     :param models: the models that its engines run.
-    :param cold_seconds: for how long an endpoint that has started is cold.
-    :param cold_per_second: requests a second that a cold one bears; 0 where nothing
-        is said.
+    :param cold_seconds: the time after its start for which an endpoint is cold.
+    :param cold_per_second: the rate at which a cold endpoint can serve requests, per
+        second; 0 if it is not configured.
     """
 
     name: ServiceName
@@ -137,12 +140,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What callers may send, and for how long they may rest.
+    """Limits on the size of callers' requests and on the time that they take.
 
-    :param header_bytes: bytes of all headers.
-    :param body_bytes: bytes of a body.
-    :param header_seconds: seconds in which the headers must have come.
-    :param idle_seconds: seconds for which an idle connection is kept.
+    :param header_bytes: the maximum size of all headers.
+    :param body_bytes: the maximum size of a body.
+    :param header_seconds: the time within which the headers must be received.
+    :param idle_seconds: the time for which an idle connection is kept open.
     """
 
     header_bytes: int = 16 << 10
@@ -153,14 +156,14 @@
 
 @dataclass(frozen=True)
 class Catalogue:
-    """One version of all that operators have set; it never changes.
+    """One immutable version of the operators' whole configuration.
 
-    :param version: the operator's version, which only grows.
+    :param version: the operators' version number, which only increases.
     :param routes: the routes.
-    :param services: the services.
-    :param organisations: the organisations with the hashes of their keys; empty
-        where no keys are used.
-    :param limits: what callers may send.
+    :param services: the services by name.
+    :param organisations: the organisations by name, with the hashes of their keys;
+        empty if no keys are used.
+    :param limits: the limits on callers' requests.
     """
 
     version: int = 0
@@ -171,26 +174,26 @@
 
     @cached_property
     def by_key_hash(self) -> dict[str, Organisation]:
-        """Organisation by the hash of a caller's key."""
-        everyone = self.organisations.values()
-        return {key: item for item in everyone for key in item.keys}
+        """The organisations by the hashes of their callers' keys."""
+        all_organisations = self.organisations.values()
+        return {key: item for item in all_organisations for key in item.keys}
 
     @cached_property
     def routes_of_host(self) -> dict[str, list[Route]]:
-        """Routes by host, those with the longest prefix first."""
-        found: dict[str, list[Route]] = {}
+        """The routes by host, each list sorted by prefix length, longest first."""
+        by_host: dict[str, list[Route]] = {}
         for route in self.routes:
-            found.setdefault(route.host, []).append(route)
-        for routes in found.values():
+            by_host.setdefault(route.host, []).append(route)
+        for routes in by_host.values():
             routes.sort(key=lambda route: -len(route.prefix))
-        return found
+        return by_host
 
     def route_for(self, host: str, path: str) -> Route | None:
         """Find the route of a request.
 
         :param host: the host that the caller named.
         :param path: the path, with or without a query.
-        :returns: the one with the longest prefix, or None.
+        :returns: the matching route with the longest prefix, or None.
         """
         path = path.partition("?")[0]
         for route in self.routes_of_host.get(host.lower(), ()):
--- a/walnutquay/state/store/feeds.py
+++ b/walnutquay/state/store/feeds.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Lists and changes of the things that the platform's store holds."""
+"""Listings and changes of objects in the platform's store."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Listing(Generic[Item]):
-    """All things of one kind at one revision.
+    """All objects of one kind at one revision.
 
-    :param items: thing by name.
-    :param revision: the store's revision that they are of.
+    :param items: the objects by name.
+    :param revision: the store's revision of the listing.
     """
 
     items: dict[str, Item]
@@ -24,10 +24,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Change(Generic[Item]):
-    """A change of one thing.
+    """A change of one object.
 
-    :param name: its name.
-    :param item: what it is now; None where it was deleted.
+    :param name: the object's name.
+    :param item: the object after the change; None if it was deleted.
     """
 
     name: str
@@ -36,10 +36,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes(Generic[Item]):
-    """What has changed since a revision.
+    """The changes since a revision.
 
     :param changes: the changes in order.
-    :param revision: the store's revision that they lead to.
+    :param revision: the store's revision after the last change.
     """
 
     changes: tuple[Change[Item], ...]
--- a/walnutquay/state/store/halls.py
+++ b/walnutquay/state/store/halls.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Data halls that operators have emptied: their endpoints get nothing more."""
+"""Data halls that operators have emptied: their endpoints get no new requests."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EmptiedHall:
-    """An operators' order that the endpoints of a data hall get nothing more.
+    """An operators' order to send no new requests to the endpoints of a data hall.
 
-    What runs there runs on.  The order holds until it is taken back.
+    Requests in progress continue.  The order applies until it is withdrawn.
 
     :param hall: the data hall.
     :param revision: the store's revision of the order.
@@ -25,43 +25,46 @@
 
 
 class EmptiedHalls:
-    """The orders that one VM knows."""
+    """The orders that one VM has received, by data hall."""
 
     def __init__(self) -> None:
         self.orders: dict[HallName, EmptiedHall] = {}
-        # Called whenever a hall is emptied or back.
+        # Called whenever a hall is emptied or restored.
         self.listeners: list[Callable[[], None]] = []
 
     def __contains__(self, hall: HallName) -> bool:
         return hall in self.orders
 
     def put(self, order: EmptiedHall) -> bool:
-        """:param order: an order.
+        """Store an order.
 
+        :param order: the order.
         :returns: whether its hall was not emptied before.
         """
         known = order.hall in self.orders
         self.orders[order.hall] = order
-        self._changed()
+        self._notify_listeners()
         return not known
 
-    def take_back(self, hall: HallName) -> bool:
-        """:param hall: a data hall whose order is gone.
+    def restore(self, hall: HallName) -> bool:
+        """Remove the order for a data hall.
 
+        :param hall: the data hall, whose order was withdrawn.
         :returns: whether it was emptied before.
         """
-        taken = self.orders.pop(hall, None)
-        self._changed()
-        return taken is not None
+        order = self.orders.pop(hall, None)
+        self._notify_listeners()
+        return order is not None
 
-    def _changed(self) -> None:
+    def _notify_listeners(self) -> None:
         for listener in self.listeners:
             listener()
 
     def missing(self, halls: Iterable[str]) -> list[HallName]:
-        """:param halls: the halls of a whole list of orders.
+        """Find the emptied halls whose orders are missing from a full list of orders.
 
-        :returns: those that are emptied here and do not stand in it.
+        :param halls: the halls of all orders in the list.
+        :returns: the halls that are emptied here and not in the list.
         """
         listed = set(halls)
         return [hall for hall in self.orders if hall not in listed]
--- a/walnutquay/state/store/instances.py
+++ b/walnutquay/state/store/instances.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The running endpoints of services, as the platform lists them."""
+"""The running endpoints of services, as listed in the platform's store."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """One start of one endpoint; a restarted endpoint is another instance.
+    """One start of an endpoint; after a restart, the endpoint is another instance.
 
-    :param name: its name, which a later start may have again.
+    :param name: its name, which later starts may reuse.
     :param service: the service that it runs.
-    :param address: ``http://IP:port``; may have belonged to another instance.
-    :param hall: the data hall that it stands in.
+    :param address: ``http://IP:port``; another instance may have used it before.
+    :param hall: the data hall in which it runs.
     :param version: the version of its software.
-    :param slots: requests that it runs at once.
-    :param leaving: whether it has announced its end.
-    :param cold_seconds: how long after its start it is slow.
-    :param born: when it started, by its own clock; Unix milliseconds, None where its
-        entry does not say.
+    :param slots: the number of requests that it runs concurrently.
+    :param leaving: whether it has announced its shutdown.
+    :param cold_seconds: the time after its start for which it is slow.
+    :param born: when it started by its own clock, in Unix milliseconds; None if its
+        entry does not contain the time.
     """
 
     name: EndpointName
@@ -43,61 +43,67 @@
     born: int | None = None
 
     def is_same_start(self, other: Instance) -> bool:
-        """Tell whether an entry of the same name is one of the same start.
+        """Return whether two entries of the same name belong to the same start.
 
-        The time tells starts apart, and not which came first: clocks step back, and
-        entries come in the order in which the store took them.
+        The start times distinguish starts but do not order them, as clocks may be set
+        back.  Entries arrive in the order in which the store accepted them.
 
-        :param other: another entry of its name.
+        :param other: another entry of the same name.
         """
         return None in (self.born, other.born) or self.born == other.born
 
 
 class InstanceRegistry:
-    """The instances that one VM believes to run.
+    """The instances that one VM treats as running.
 
-    An instance whose entry went while the platform's store was away may have
-    lost it for that reason only: it stays in use until :meth:`drop_overdue`
-    is called after its time.
+    An entry that was deleted while the platform's store was unavailable may have
+    expired only because its endpoint could not renew it.  The instance therefore stays
+    in use until :meth:`drop_overdue` is called after its time.
 
-    :param overdue_seconds: how long such an instance stays in use.
+    :param overdue_seconds: the time for which such an instance stays in use.
     """
 
     def __init__(self, overdue_seconds: float) -> None:
         self.overdue_seconds = overdue_seconds
         self.known: dict[EndpointName, Instance] = {}
-        # Data halls whose instances get nothing, though they run.
+        # Data halls whose instances are running but must not be sent new requests.
         self.emptied = EmptiedHalls()
-        # Instances without an entry that are still used, and until when.
+        # Instances without an entry that are still in use, and the time until which
+        # they are; monotonic seconds.
         self.overdue: dict[EndpointName, float] = {}
-        # Deletions are only doubted until then; monotonic seconds.
-        self.doubt_until = float("-inf")
-        # When this VM first heard of each instance; monotonic seconds.
-        self.since: dict[EndpointName, float] = {}
-        # The instances that may be sent requests, by what was asked for: each request
-        # asks several times.  They hold until an entry or an order changes.
-        self.found: dict[tuple[ServiceName, VersionName | None], list[Instance]] = {}
-        self.emptied.listeners.append(self.found.clear)
+        # Until then, deletions are treated as unconfirmed; monotonic seconds.
+        self.deletions_unconfirmed_until = float("-inf")
+        # When this VM first received an entry of each instance; monotonic seconds.
+        self.first_seen: dict[EndpointName, float] = {}
+        # Cached results of usable_instances(), which is called several times for each
+        # request.  Cleared whenever an entry or an order changes.
+        self.usable_cache: dict[
+            tuple[ServiceName, VersionName | None], list[Instance]
+        ] = {}
+        self.emptied.listeners.append(self.usable_cache.clear)
 
     def is_current(self, instance: Instance) -> bool:
-        """:param instance: an instance that was known once.
+        """Return whether no later start under the same name is known.
 
-        :returns: whether no later start of its name is known.
+        :param instance: an instance that was known at some time.
         """
         known = self.known.get(instance.name)
         return known is None or known.is_same_start(instance)
 
-    def doubt_deletions(self, now: float) -> None:
-        """Note that the store has just come back.
+    def mark_deletions_unconfirmed(self, now: float) -> None:
+        """Treat deletions as unconfirmed for a while: the store is available again.
 
-        :param now: monotonic seconds.
+        :param now: when it became available again; monotonic seconds.
         """
-        self.doubt_until = max(self.doubt_until, now + self.overdue_seconds)
+        self.deletions_unconfirmed_until = max(
+            self.deletions_unconfirmed_until, now + self.overdue_seconds
+        )
 
     def put(self, instance: Instance, now: float) -> None:
-        """Take in an instance's entry.
+        """Apply an instance's entry.
 
-        :param instance: as its entry says; an end once announced stays so.
+        :param instance: the instance as in its entry; once it has announced its
+            shutdown, it stays marked as leaving.
         :param now: monotonic seconds.
         """
         before = self.known.get(instance.name)
@@ -109,21 +115,22 @@
         if before is not None and instance.born is None:
             instance = replace(instance, born=before.born)
         self.known[instance.name] = instance
-        self.found.clear()
-        self.since.setdefault(instance.name, now)
+        self.usable_cache.clear()
+        self.first_seen.setdefault(instance.name, now)
         self.overdue.pop(instance.name, None)
 
     def remove(self, name: EndpointName, now: float) -> bool:
-        """Take in that an instance has no entry any more.
+        """Apply the deletion of an instance's entry.
 
         :param name: the instance.
         :param now: monotonic seconds.
-        :returns: whether it is gone at once, and not only in doubt.
+        :returns: whether the instance was removed at once; false if it was unknown or
+            the deletion is unconfirmed.
         """
         if name not in self.known:
             return False
-        if now < self.doubt_until and not self.known[name].leaving:
-            self.overdue.setdefault(name, self.doubt_until)
+        if now < self.deletions_unconfirmed_until and not self.known[name].leaving:
+            self.overdue.setdefault(name, self.deletions_unconfirmed_until)
             return False
         self._forget(name)
         return True
@@ -131,11 +138,11 @@
     def replace_all(
         self, instances: Iterable[Instance], now: float
     ) -> list[EndpointName]:
-        """Take in a whole list.
+        """Apply a full list of entries.
 
-        :param instances: all entries that there are.
+        :param instances: the instances of all entries.
         :param now: monotonic seconds.
-        :returns: the names of instances that are gone at once.
+        :returns: the names of the instances that were removed at once.
         """
         listed = {instance.name: instance for instance in instances}
         missing = [name for name in self.known if name not in listed]
@@ -145,29 +152,30 @@
         return gone
 
     def drop_overdue(self, now: float) -> list[EndpointName]:
-        """Forget the instances whose entries have not come back in time.
+        """Remove the instances whose entries were not written again in time.
 
         :param now: monotonic seconds.
         :returns: their names.
         """
-        ended = [name for name, until in self.overdue.items() if until <= now]
-        for name in ended:
+        expired = [name for name, until in self.overdue.items() if until <= now]
+        for name in expired:
             self._forget(name)
-        return ended
+        return expired
 
     def usable_instances(
         self, service: ServiceName, version: VersionName | None = None
     ) -> list[Instance]:
-        """:param service: a service.
+        """Return the instances of a service that may be sent requests.
+
+        These have not announced their shutdown, and their data hall is not emptied.
 
-        :param version: only instances of this version; None for all.
-        :returns: those that may be sent requests: they have not announced their end,
-            and their data hall is not emptied.  The list is shared, and not to be
-            changed.
+        :param service: the service.
+        :param version: only return instances of this version; None for all.
+        :returns: the instances, in a shared list that callers must not modify.
         """
-        found = self.found.get((service, version))
+        found = self.usable_cache.get((service, version))
         if found is None:
-            found = self.found[service, version] = [
+            found = self.usable_cache[service, version] = [
                 instance
                 for instance in self.known.values()
                 if instance.service == service
@@ -178,25 +186,27 @@
         return found
 
     def usable_versions(self, service: ServiceName) -> set[VersionName]:
-        """:param service: a service.
+        """Return the versions of a service's instances that may be sent requests.
 
-        :returns: the versions of its instances that may be sent requests.
+        :param service: the service.
         """
         return {instance.version for instance in self.usable_instances(service)}
 
     def version_first_seen(
         self, service: ServiceName, version: VersionName
     ) -> float | None:
-        """:param service: a service.
+        """Return when an entry of a version was first received.
 
+        :param service: the service.
         :param version: one of its versions.
-        :returns: since when an instance of it has been known; None where none is.
+        :returns: the earliest time among the instances that may be sent requests, in
+            monotonic seconds; None if there are none.
         """
         known = self.usable_instances(service, version)
-        return min((self.since[instance.name] for instance in known), default=None)
+        return min((self.first_seen[instance.name] for instance in known), default=None)
 
     def _forget(self, name: EndpointName) -> None:
         self.known.pop(name, None)
-        self.found.clear()
+        self.usable_cache.clear()
         self.overdue.pop(name, None)
-        self.since.pop(name, None)
+        self.first_seen.pop(name, None)
--- a/walnutquay/state/store/orders.py
+++ b/walnutquay/state/store/orders.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Operators' orders to bring in a new version of a service."""
+"""Operators' orders to roll out a new version of a service."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class OrderState(Enum):
-    """Where an order stands."""
+    """The state of an order."""
 
-    # Nobody has said anything of it yet.
+    # No entry VM has reported on it yet.
     NEW = "new"
     RUNNING = "running"
     DONE = "done"
@@ -21,7 +21,7 @@
 
     @property
     def ended(self) -> bool:
-        """Whether nothing is left to decide."""
+        """Whether the roll-out has been decided."""
         return self in (OrderState.DONE, OrderState.WITHDRAWN)
 
 
@@ -33,10 +33,10 @@
     :param revision: the store's revision of the object, for conditional writes.
     :param service: the service.
     :param version: the new version.
-    :param seconds: in which it is to be decided.
-    :param state: where it stands.
-    :param started: when an entry VM first saw it; seconds of Unix time, or None
-        where none has said so.
+    :param seconds: the time within which the roll-out must be decided.
+    :param state: the order's state.
+    :param started: when an entry VM first saw it, in seconds of Unix time; None if no
+        VM has reported it.
     """
 
     name: str
