--- a/lab/mutants/routed.py
+++ b/lab/mutants/routed.py
@@ -20,7 +20,7 @@
         "if answer is None or not answer.direct:",
         "if answer is None:",
         "tests.coordination.store.test_relaying.WatchersTest."
-        "test_one_that_hears_from_others_only_is_no_source",
+        "test_a_vm_that_does_not_watch_the_store_is_no_source",
     ),
     Mutation(
         "roll-outs: versions that are slow in part are found",
@@ -35,7 +35,7 @@
         "if self.instance_follower.failing_since is not None:",
         "if True:",
         "tests.coordination.store.test_relaying.RelayedFeedTest."
-        "test_a_watcher_that_returns_to_a_vm_that_was_never_cut_off",
+        "test_the_return_of_a_watcher_to_a_vm_that_was_never_cut_off",
     ),
     Mutation(
         "leaving endpoints: watchers of all halls are asked",
@@ -43,7 +43,7 @@
         "if silent and number >= len(near) + FAR_WATCHERS:",
         "if number >= len(near) + FAR_WATCHERS:",
         "tests.coordination.store.test_relaying.WatchersTest."
-        "test_the_only_one_that_the_store_serves_is_found",
+        "test_the_only_hall_that_the_store_serves_is_found",
     ),
     Mutation(
         "silent streams between VMs are replaced",
@@ -65,7 +65,7 @@
         "coordination/fleet/starting.py",
         "if self.peers.is_seed:",
         "if True:",
-        "tests.coordination.store.test_knowledge.StartingVmTest.test_without_any_call_for_a_list",
+        "tests.coordination.store.test_knowledge.StartingVmTest.test_no_list_is_read_from_the_store",
     ),
     Mutation(
         "planned stops: what crosses the close is not passed on",
@@ -242,7 +242,7 @@
         "coordination/store/sinks.py",
         'self._notify_gone(instance.name, "it has restarted")',
         "pass",
-        "tests.coordination.store.test_restarts.ForgettingTest",
+        "tests.coordination.store.test_restarts.StateResetTest",
     ),
     Mutation(
         "an entry that cannot be read any more names nothing",
--- a/tests/coordination/store/__init__.py
+++ b/tests/coordination/store/__init__.py
@@ -1,3 +1,3 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Tests of what the platform's store tells."""
+"""Tests of the packages that follow the platform's store."""
--- a/tests/coordination/store/test_emptied.py
+++ b/tests/coordination/store/test_emptied.py
@@ -1,9 +1,10 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Data halls that operators empty: their endpoints get nothing more, by any way.
+"""Data halls that operators empty: nothing new is sent to their endpoints by any path.
 
-No part of the program read that a data hall was emptied.  4,425 requests reached the
-endpoints of one within 7 s, from 61 entry VMs, each of which was well.
+Guards against orders to empty a hall being ignored.  When no part of the program read
+them, 4,425 requests from 61 healthy entry VMs reached the endpoints of an emptied hall
+within 7 s.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class EmptiedCase(GatewayCase):
-    """Two data halls with an endpoint of each service, the first emptied by a test."""
+    """Two data halls, each with one endpoint of each service."""
 
     workers: Mapping[str, str] = {
         "p1": "plain",
@@ -34,23 +35,23 @@
         return await super().add_worker(name, service, zone=HALLS[name], **more)
 
     async def empty(self, *halls: str) -> None:
-        """Empty data halls, and wait until the gateway knows."""
+        """Empty data halls, and wait until the gateway has received the orders."""
         for hall in halls:
             await self.store.put("evacuations", hall, {})
         emptied = self.gateway.knowledge.halls.emptied
         await self.until(lambda: all(hall in emptied for hall in halls))
 
     async def restore(self, hall: str) -> None:
-        """Take a hall back, and wait until the gateway knows."""
+        """Restore a hall, and wait until the gateway has received the deletion."""
         await self.store.remove("evacuations", hall)
         emptied = self.gateway.knowledge.halls.emptied
         await self.until(lambda: hall not in emptied)
 
 
 class SendingTest(EmptiedCase):
-    """Nothing is sent there by any path."""
+    """Nothing new is sent to an emptied hall by any path."""
 
-    async def test_first_sends(self):
+    async def test_first_attempts(self):
         await self.empty("hall-a")
         for _ in range(20):
             self.assertEqual((await self.call("/safe/x")).status, 200)
@@ -64,7 +65,7 @@
         self.assertEqual((await self.call("/safe/x")).status, 500)
         self.assertEqual(self.runs("p1"), 0)
 
-    async def test_what_an_endpoint_turns_away(self):
+    async def test_requests_that_an_endpoint_refuses(self):
         await self.empty("hall-a")
         self.endpoints["p2"].default = Behaviour(status=503, not_run=True)
         self.assertEqual((await self.call("/unsafe/x", b"b")).status, 503)
@@ -80,7 +81,7 @@
         self.assertEqual(models, ["tiny", "huge"])
         self.assertEqual(self.runs("e1"), 0)
 
-    async def test_a_prompt_whose_beginning_was_read_there(self):
+    async def test_a_prompt_whose_prefix_is_cached_there(self):
         parts = {**STREAM, "Prefix_Hash": "aa:50,bb:40,cc:10"}
         for _ in range(4):
             await self.call("/stream/x", b"b", **parts)
@@ -92,10 +93,10 @@
 
 
 class RunningTest(EmptiedCase):
-    """What runs there runs on; a stream that breaks there goes on elsewhere."""
+    """Requests in progress continue; interrupted streams continue elsewhere."""
 
     async def start_stream(self, behaviour: Behaviour) -> asyncio.Task:
-        """Begin a stream in the hall that is emptied then."""
+        """Start a stream in a hall, then empty that hall."""
         self.endpoints["e1"].default = behaviour
         await self.empty("hall-b")
         stream = asyncio.ensure_future(self.call("/stream/x", b"b", **STREAM))
@@ -104,7 +105,7 @@
         await self.empty("hall-a")
         return stream
 
-    async def test_a_stream_goes_on(self):
+    async def test_a_stream_in_progress_continues(self):
         gate = asyncio.Event()
         stream = await self.start_stream(Behaviour(events=3, gate=gate))
         gate.set()
@@ -113,7 +114,7 @@
         self.assertEqual(answer.body.count(b"data:"), 3)
         self.assertEqual(self.runs("e2"), 0)
 
-    async def test_a_stream_that_breaks(self):
+    async def test_an_interrupted_stream_continues_elsewhere(self):
         gate = asyncio.Event()
         stream = await self.start_stream(Behaviour(events=3, cut_after=1, gate=gate))
         self.endpoints["e2"].default = Behaviour(events=3)
@@ -124,7 +125,7 @@
 
 
 class AllHallsTest(EmptiedCase):
-    """Where all halls of a service are emptied its callers are told to come back."""
+    """Callers are asked to retry if all halls of a service are emptied."""
 
     async def test_refused_at_once(self):
         await self.empty("hall-a", "hall-b")
@@ -134,17 +135,17 @@
             self.assertGreater(float(answer.headers["Retry-After"]), 0.0)
         self.assertEqual(self.runs(), 0)
 
-    async def test_served_when_one_is_taken_back(self):
+    async def test_served_when_one_is_restored(self):
         await self.empty("hall-a", "hall-b")
         await self.restore("hall-b")
         self.assertEqual((await self.call("/unsafe/x", b"b")).status, 200)
         self.assertEqual((self.runs("p1"), self.runs("p2")), (0, 1))
 
 
-class KnowingTest(EmptiedCase):
-    """The order is known, kept and told as everything else of the store is."""
+class OrderDistributionTest(EmptiedCase):
+    """Orders are kept, distributed and logged like other objects of the store."""
 
-    async def test_it_is_kept_while_the_store_is_away(self):
+    async def test_it_is_kept_while_the_store_is_unavailable(self):
         await self.empty("hall-a")
         self.store.silent = True
         for _ in range(10):
@@ -155,7 +156,7 @@
             await self.call("/safe/x")
         self.assertEqual(self.runs("p1"), 0)
 
-    async def test_taken_back_while_the_store_is_away_for_this_vm(self):
+    async def test_restored_while_the_store_is_unavailable_to_this_vm(self):
         await self.empty("hall-a")
         follower = self.gateway.knowledge.hall_follower
         self.store.refuse = 503
@@ -166,14 +167,14 @@
         self.store.refuse = None
         await self.until(lambda: "hall-a" not in self.gateway.knowledge.halls.emptied)
 
-    async def test_a_vm_that_starts_is_told_by_the_others(self):
+    async def test_a_vm_that_starts_receives_it_from_another(self):
         await self.empty("hall-a")
         second = await self.add_gateway("vm-2", [self.gateway])
         for _ in range(10):
             await self.call("/safe/x", gateway=second)
         self.assertEqual(self.runs("p1"), 0)
 
-    async def test_names_that_are_no_halls_do_no_harm(self):
+    async def test_names_that_are_not_halls_are_harmless(self):
         for name in ("nowhere", "p1", "hall-a/../hall-b", "x" * 400):
             await self.store.put("evacuations", name, {"foreign": ["fields"]})
         await self.empty("hall-a")
--- a/tests/coordination/store/test_knowledge.py
+++ b/tests/coordination/store/test_knowledge.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What a VM knows: it never goes back, survives silence, and comes from peers too."""
+"""A VM's copy of the store: never reverted, kept during outages, shared with peers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def instance(name: str, leaving: bool = False) -> Instance:
-    """:returns: an instance of the service ``s``."""
+    """Return an instance of the service ``s``."""
     return Instance(
         EndpointName(name),
         ServiceName("s"),
@@ -30,22 +30,22 @@
     )
 
 
-class BookTest(unittest.TestCase):
-    """Entries that come, change, lapse and go."""
+class RegistryTest(unittest.TestCase):
+    """Entries that are added, changed, expired and deleted."""
 
     def setUp(self) -> None:
         self.registry = InstanceRegistry(2.0)
         self.registry.replace_all([instance("a"), instance("b")], 0.0)
 
     def names(self) -> set[str]:
-        """:returns: the instances that may be used."""
+        """Return the names of the instances that may be sent requests."""
         return {item.name for item in self.registry.usable_instances(ServiceName("s"))}
 
-    def test_a_deletion_counts_at_once(self):
+    def test_a_deletion_applies_at_once(self):
         self.assertTrue(self.registry.remove(EndpointName("a"), 1.0))
         self.assertEqual(self.names(), {"b"})
 
-    def test_after_an_outage_it_is_doubted_for_a_while(self):
+    def test_after_an_outage_a_deletion_is_unconfirmed_for_a_while(self):
         self.registry.mark_deletions_unconfirmed(10.0)
         self.assertFalse(self.registry.remove(EndpointName("a"), 10.5))
         self.assertEqual(self.registry.drop_overdue(11.9), [])
@@ -53,14 +53,14 @@
         self.assertEqual(self.registry.drop_overdue(12.0), ["a"])
         self.assertEqual(self.names(), {"b"})
 
-    def test_an_entry_that_comes_back_stays(self):
+    def test_an_entry_that_is_written_again_stays(self):
         self.registry.mark_deletions_unconfirmed(10.0)
         self.registry.replace_all([instance("b")], 10.5)
         self.registry.put(instance("a"), 11.0)
         self.assertEqual(self.registry.drop_overdue(13.0), [])
         self.assertEqual(self.names(), {"a", "b"})
 
-    def test_an_announced_end_is_never_taken_back(self):
+    def test_an_announced_shutdown_is_never_reverted(self):
         self.registry.put(instance("a", leaving=True), 1.0)
         self.registry.put(instance("a"), 2.0)
         self.assertEqual(self.names(), {"b"})
@@ -68,17 +68,17 @@
         self.assertTrue(self.registry.remove(EndpointName("a"), 3.1))
 
 
-class SilenceTest(GatewayCase):
-    """While the store is away everything known stays in use."""
+class StoreOutageTest(GatewayCase):
+    """All state stays in use while the store is unavailable."""
 
-    async def test_requests_are_served_on(self):
+    async def test_requests_are_still_served(self):
         self.store.silent = True
         self.assertEqual((await self.call("/safe/x")).status, 200)
         self.store.silent = False
         self.store.refuse = 503
         self.assertEqual((await self.call("/unsafe/x", b"b")).status, 200)
 
-    async def test_history_that_is_gone_is_listed_again(self):
+    async def test_expired_history_is_listed_again(self):
         await self.store.put("servers", "p9", self.endpoints["p1"].spec("plain"))
         registry = self.gateway.knowledge.instances.registry
         await self.until(lambda: "p9" in registry.known)
@@ -90,14 +90,14 @@
 
 
 class RelayTest(GatewayCase):
-    """A VM that the store turns away hears from its peers."""
+    """A VM that the store does not answer receives changes from its peers."""
 
     async def test_a_new_configuration(self):
         second = await self.add_gateway("vm-2")
         first = self.gateway
         place = VmPlace(first.peers.own, first.context.hall)
         second.peers.known = {first.context.vm: place}
-        # From now on the store does not answer the second VM.
+        # From here on, the store does not answer the second VM.
         second.store.base = "http://127.0.0.1:9/v1/objects"
         second.knowledge.catalogue_follower.query_now()
         spec = catalogue(2)
@@ -109,9 +109,9 @@
 
 
 class StartingVmTest(GatewayCase):
-    """A VM that starts learns from the others what there is, not from the store."""
+    """A VM that starts receives all lists from another VM, not from the store."""
 
-    async def test_without_any_call_for_a_list(self):
+    async def test_no_list_is_read_from_the_store(self):
         kinds = ("config", "servers", "rollouts", "evacuations")
         before = [self.store.calls[f"GET {kind}"] for kind in kinds]
         second = await self.add_gateway("vm-2", [self.gateway])
@@ -120,18 +120,18 @@
         self.assertEqual(after, before)
         self.assertEqual((await self.call("/safe/x", gateway=second)).status, 200)
 
-    async def test_a_configuration_that_comes_later_reaches_it(self):
+    async def test_a_later_configuration_reaches_it(self):
         second = await self.add_gateway("vm-2", [self.gateway])
         await self.store.put("config", "main", catalogue(2))
         await self.until(lambda: second.knowledge.catalogue.current.version == 2)
 
 
 class EmptyFleetTest(GatewayCase):
-    """Where nobody knows anything yet, the store is asked."""
+    """The store is queried if no VM has any state yet."""
 
     configured = False
 
-    async def test_two_that_start_together(self):
+    async def test_two_vms_that_start_together(self):
         second = await self.add_gateway("vm-2", [self.gateway])
         await self.store.put("config", "main", catalogue())
         await self.until(
@@ -139,8 +139,8 @@
         )
 
 
-class ForgettingTest(GatewayCase):
-    """What is gone leaves nothing behind."""
+class RemovalTest(GatewayCase):
+    """The state of objects that are gone is removed."""
 
     async def test_an_endpoint_that_is_gone(self):
         await self.call("/safe/x")
--- a/tests/coordination/store/test_relaying.py
+++ b/tests/coordination/store/test_relaying.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Changes of the store that reach VMs which do not watch it themselves."""
+"""Changes of the store that are relayed to VMs which do not watch it themselves."""
 
 from __future__ import annotations
 
@@ -28,12 +28,15 @@
 
 HALLS = ("h1", "h2", "h3")
 PER_HALL = 6
-# VMs of each hall that watch the store.
+# The number of VMs in each hall that watch the store.
 WATCHERS = 1
 
 
 def fleet(count: int = PER_HALL) -> dict[VmName, VmPlace]:
-    """:returns: so many VMs in each data hall."""
+    """Return a fleet with a number of VMs in each data hall.
+
+    :param count: the number of VMs in each hall.
+    """
     return {
         VmName(f"{hall}-{number}"): VmPlace(Address(hall, number), HallName(hall))
         for hall in HALLS
@@ -42,14 +45,14 @@
 
 
 class FakeNode:
-    """Answers for the VMs that are up; notes who was asked."""
+    """Answers on behalf of VMs that are up, and records which VMs were called."""
 
     def __init__(self) -> None:
         self.answers: dict[Address, ChangesAre] = {}
         self.asked: list[str] = []
 
     async def call(self, address, body, limit, peer):
-        """As the real one."""
+        """Return the answer that is set for an address."""
         self.asked.append(peer)
         if address not in self.answers:
             raise PeerError("no answer", peer=peer)
@@ -57,7 +60,7 @@
 
 
 def watchers(vm: str, known: dict[VmName, VmPlace]) -> Watchers:
-    """:returns: the watchers as one VM sees them."""
+    """Return the watchers as one VM sees them."""
     context = SimpleNamespace(
         vm=VmName(vm),
         hall=HallName(vm[:2]),
@@ -69,10 +72,10 @@
 
 
 class WatchersTest(unittest.IsolatedAsyncioTestCase):
-    """Who watches, and who is asked."""
+    """Which VMs watch the store, and which are queried by the others."""
 
     def watching(self, known: dict[VmName, VmPlace]) -> list[VmName]:
-        """:returns: the VMs that take themselves for watchers."""
+        """Return the VMs that treat themselves as watchers."""
         return [vm for vm in known if watchers(vm, known).includes_this()]
 
     def test_all_of_a_small_fleet(self):
@@ -87,13 +90,13 @@
                 self.assertEqual(len(in_hall), WATCHERS)
 
     def follower(self) -> tuple[Watchers, list[VmName], dict[VmName, VmPlace]]:
-        """:returns: a VM that does not watch, the watchers of its hall, the fleet."""
+        """Return a VM that does not watch, the watchers of its hall, and the fleet."""
         known = fleet()
         near = [vm for vm in self.watching(known) if vm.startswith("h1")]
         vm = next(vm for vm in known if vm.startswith("h1") and vm not in near)
         return watchers(vm, known), near, known
 
-    async def test_one_that_is_silent_is_left_out_and_another_takes_its_place(self):
+    async def test_a_silent_watcher_is_replaced_by_another(self):
         found, near, known = self.follower()
         node = found.peers.node
         for vm, place in known.items():
@@ -105,7 +108,7 @@
         await found.ask("servers", 1, 0.0)
         self.assertFalse(set(node.asked) & set(near))
 
-    async def test_one_that_the_store_serves_is_believed(self):
+    async def test_the_answer_of_a_vm_that_the_store_serves_is_used(self):
         found, _, known = self.follower()
         node = found.peers.node
         for vm, place in known.items():
@@ -114,22 +117,22 @@
         self.assertFalse(answer.failing)
         self.assertEqual(len(node.asked), WATCHERS + 1)
 
-    async def test_the_only_one_that_the_store_serves_is_found(self):
+    async def test_the_only_hall_that_the_store_serves_is_found(self):
         found, _, known = self.follower()
         node = found.peers.node
         for served in ("h2", "h3"):
             for vm, place in known.items():
-                lacks = not vm.startswith(served)
-                node.answers[place.address] = ChangesAre(failing=lacks)
+                failing = not vm.startswith(served)
+                node.answers[place.address] = ChangesAre(failing=failing)
             answer = await found.ask("servers", 1, 0.0)
             self.assertFalse(answer.failing, served)
 
-    async def test_after_silence_not_all_halls_are_waited_for(self):
+    async def test_after_a_timeout_not_all_halls_are_queried(self):
         found, near, _ = self.follower()
         self.assertIsNone(await found.ask("servers", 1, 0.0))
         self.assertEqual(len(found.peers.node.asked), len(near) + 1)
 
-    async def test_one_that_hears_from_others_only_is_no_source(self):
+    async def test_a_vm_that_does_not_watch_the_store_is_no_source(self):
         found, _, known = self.follower()
         for place in known.values():
             found.peers.node.answers[place.address] = ChangesAre(direct=False)
@@ -137,18 +140,22 @@
 
 
 class ExportTest(unittest.TestCase):
-    """Changes that are passed on are whole, or said not to be."""
+    """Exported changes are complete, or the export fails."""
 
     def feed(self) -> Feed:
-        """:returns: a feed without a store."""
+        """Return a feed without a store."""
         return Feed(None, "servers", lambda stored: stored)
 
     def batch(self, revision: int, deleted: bool = False) -> Batch:
-        """:returns: a change of one object."""
+        """Return a change of one object.
+
+        :param revision: the revision of the change.
+        :param deleted: whether the object was deleted.
+        """
         stored = StoredObject(f"i-{revision}", revision, {"n": revision})
         return Batch(revision, (StoredEvent(stored, deleted),))
 
-    def test_there_and_back(self):
+    def test_changes_are_read_as_exported(self):
         source, target = self.feed(), self.feed()
         for revision in (3, 5, 8):
             source._changes(self.batch(revision, deleted=revision == 5))
@@ -156,10 +163,10 @@
         self.assertEqual([change.name for change in changes.changes], ["i-5", "i-8"])
         self.assertIsNone(changes.changes[0].item)
         self.assertEqual(changes.revision, 8)
-        # What was taken over can be passed on in turn.
+        # Changes that were read from an export can be exported again.
         self.assertEqual(target.export_changes(3), source.export_changes(3))
 
-    def test_changes_that_are_not_kept_any_more(self):
+    def test_changes_that_are_no_longer_kept(self):
         source = self.feed()
         for revision in range(1, KEPT_BATCHES + 3):
             source._changes(self.batch(revision))
@@ -170,16 +177,16 @@
 
 
 class ReturnedStoreTest(unittest.IsolatedAsyncioTestCase):
-    """Deletions right after the store's return are doubted before they are taken."""
+    """The store's return is reported before changes, so deletions are unconfirmed."""
 
-    async def test_the_return_is_told_before_the_changes(self):
-        told: list[str] = []
+    async def test_the_return_is_reported_before_the_changes(self):
+        calls: list[str] = []
 
         class DirectFeed:
             kind = "servers"
 
             def read_changes(self, data: bytes) -> None:
-                told.append(f"changes {data.decode()}")
+                calls.append(f"changes {data.decode()}")
 
         class OneWatcher:
             def includes_this(self) -> bool:
@@ -192,17 +199,17 @@
                 return ChangesAre(b"gone", returned=returned)
 
         feed = RelayedFeed(
-            DirectFeed(), OneWatcher(), lambda ago: told.append(f"back for {ago}")
+            DirectFeed(), OneWatcher(), lambda ago: calls.append(f"back for {ago}")
         )
         returned = 0.5
         await feed.watch(3, 1.0)
         returned = math.inf
         await feed.watch(3, 1.0)
-        self.assertEqual(told, ["back for 0.5", "changes gone", "changes gone"])
+        self.assertEqual(calls, ["back for 0.5", "changes gone", "changes gone"])
 
 
 class RelayedFeedTest(GatewayCase):
-    """Three VMs of one data hall, of which one watches."""
+    """Three VMs of one data hall, one of which watches the store."""
 
     async def asyncSetUp(self) -> None:
         faster = ((watchers_module, "SMALL_FLEET", 1), (relaying, "POLL_SECONDS", 0.3))
@@ -228,10 +235,10 @@
         await self.until(lambda: not any(feed.watching for feed in feeds))
 
     def watches(self, gateway: GatewayDaemon) -> bool:
-        """:returns: whether a VM takes itself for a watcher."""
+        """Return whether a VM treats itself as a watcher."""
         return gateway.knowledge.instance_follower.feed.watchers.includes_this()
 
-    async def test_changes_reach_it_without_calls_of_its_own(self):
+    async def test_changes_arrive_without_calls_to_the_store(self):
         self.follower.store.base = "http://127.0.0.1:9/v1/objects"
         await self.store.put("config", "main", catalogue(2))
         await self.store.remove("servers", "p1")
@@ -240,7 +247,7 @@
         await self.until(lambda: "p1" not in knowledge.instances.registry.known)
         self.assertIsNone(knowledge.catalogue_follower.failing_since)
 
-    async def test_without_watchers_it_watches_itself(self):
+    async def test_without_watchers_the_vm_watches_the_store(self):
         for gateway in self.gateways:
             if gateway is not self.follower:
                 await gateway.node.stop()
@@ -248,11 +255,11 @@
         knowledge = self.follower.knowledge
         await self.until(lambda: knowledge.catalogue.current.version == 2)
 
-    async def test_entries_that_lapse_with_the_store_are_doubted_here_too(self):
+    async def test_deletions_during_an_outage_are_unconfirmed_here_too(self):
         self.store.refuse = 503
         followers = [f for g in self.gateways for f in g.knowledge.followers()]
         for follower in followers:
-            # Watches that the store holds already would still be answered.
+            # Otherwise, watches that the store already holds would still be answered.
             follower.query_now()
         await self.until(lambda: all(f.failing_since is not None for f in followers))
         await self.store.remove("servers", "p1")
@@ -261,15 +268,15 @@
         await self.until(lambda: "p1" in registry.overdue)
         self.assertIn("p1", registry.known)
 
-    async def test_where_only_its_watcher_was_cut_off_a_deletion_counts(self):
+    async def test_a_deletion_applies_if_only_the_watcher_was_cut_off(self):
         source = self.follower.knowledge.instance_follower.feed.watchers
-        answered = source.ask
+        original_ask = source.ask
         cut = True
 
         async def ask(kind, revision, seconds):
             if cut:
                 return ChangesAre(failing=True)
-            return await answered(kind, revision, seconds)
+            return await original_ask(kind, revision, seconds)
 
         source.ask = ask
         knowledge = self.follower.knowledge
@@ -285,7 +292,7 @@
         )
         self.assertNotIn("p1", knowledge.instances.registry.known)
 
-    async def test_a_watcher_whose_connections_to_the_store_fell_silent(self):
+    async def test_a_watcher_whose_connections_to_the_store_stalled(self):
         watcher = next(g for g in self.gateways if self.watches(g))
         host, _, port = self.store.address.partition(":")
         link = Link((host, int(port)))
@@ -297,12 +304,13 @@
         await self.until(lambda: len(link.writers) >= 6)
         link.silence()
         await self.store.remove("servers", "p1")
-        # Watches that are held for longer than this test waits would hide it.
+        # The stall is noticed only when a watch is overdue, so this fails if watches
+        # last for longer than the test waits.
         registry = self.follower.knowledge.instances.registry
         await self.until(lambda: "p1" not in registry.known)
 
     def test_a_silent_store_is_noticed_while_leaving_endpoints_are_served(self):
-        # The least times that the users' deployments give, and longer ones.
+        # The shortest times that the users' deployments set, and longer ones.
         for seconds in (2.0, 4.0, 8.0):
             times = watch_times(seconds, seconds, seconds)
             noticed = times.endpoints + WATCH_SLACK_SECONDS
@@ -312,7 +320,7 @@
             noticed = times.halls + WATCH_SLACK_SECONDS
             self.assertLessEqual(noticed, seconds)
 
-    async def test_a_watcher_that_returns_to_a_vm_that_was_never_cut_off(self):
+    async def test_the_return_of_a_watcher_to_a_vm_that_was_never_cut_off(self):
         knowledge = self.follower.knowledge
         self.assertIsNone(knowledge.instance_follower.failing_since)
         knowledge.store_returned_to_watcher(0.0)
@@ -321,7 +329,7 @@
         self.assertNotIn("p1", knowledge.instances.registry.overdue)
         self.assertLess(knowledge.instances.registry.deletions_unconfirmed_until, 0.0)
 
-    async def test_a_watcher_that_knows_too_little_sends_the_whole_list(self):
+    async def test_a_watcher_without_the_history_sends_the_full_list(self):
         for gateway in self.gateways:
             for follower in gateway.knowledge.followers():
                 follower.feed.direct.batches_since = 10**6
--- a/tests/coordination/store/test_restarts.py
+++ b/tests/coordination/store/test_restarts.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Endpoints that start again under the names that they had."""
+"""Endpoints that restart under the same names."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 # Unix milliseconds of an endpoint's first start, and of its next one.
 FIRST, NEXT = 1_700_000_000_000, 1_700_000_060_000
-# The next start, where the clock was set back meanwhile.
+# The next start if the clock was set back meanwhile.
 BEFORE = FIRST - 5_000
 
 
-class BookTest(unittest.TestCase):
-    """A start is known by its name and by when it was."""
+class RegistryTest(unittest.TestCase):
+    """A start is identified by the endpoint's name and the start time."""
 
     def setUp(self) -> None:
         self.registry = InstanceRegistry(2.0)
@@ -32,10 +32,10 @@
         self.registry.put(self.first, 0.0)
 
     def usable(self) -> bool:
-        """:returns: whether the endpoint may be used."""
+        """Return whether the endpoint may be sent requests."""
         return bool(self.registry.usable_instances(ServiceName("s")))
 
-    def test_a_start_after_one_that_was_leaving(self):
+    def test_a_restart_of_a_leaving_endpoint_is_usable(self):
         for born in (NEXT, BEFORE):
             with self.subTest(born=born):
                 self.registry.put(replace(self.first, leaving=True), 1.0)
@@ -44,17 +44,17 @@
                 self.assertTrue(self.usable())
                 self.registry.put(self.first, 3.0)
 
-    def test_the_same_start_goes_on_leaving(self):
+    def test_the_same_start_stays_leaving(self):
         self.registry.put(replace(self.first, leaving=True), 1.0)
         self.registry.put(self.first, 2.0)
         self.assertFalse(self.usable())
 
-    def test_an_entry_that_does_not_say_when(self):
+    def test_an_entry_without_a_start_time(self):
         self.registry.put(replace(self.first, leaving=True), 1.0)
         self.registry.put(replace(self.first, born=None), 2.0)
         self.assertFalse(self.usable())
 
-    def test_what_was_usable_before_a_change(self):
+    def test_usable_instances_follow_each_change(self):
         order = EmptiedHall(self.first.hall, 1)
         emptied = self.registry.emptied
         for change, usable in (
@@ -67,7 +67,7 @@
             change()
             self.assertEqual(self.usable(), usable)
 
-    def test_since_when_it_is_known(self):
+    def test_a_restart_has_its_own_first_seen_time(self):
         self.registry.put(replace(self.first, born=NEXT), 7.0)
         name = EndpointName("a")
         self.assertEqual(self.registry.first_seen[name], 7.0)
@@ -76,7 +76,7 @@
 
 
 class RestartCase(GatewayCase):
-    """Endpoints whose entries say when they started."""
+    """Endpoints whose entries contain their start times."""
 
     workers = {"p1": "plain", "e1": "engine", "e2": "engine"}
 
@@ -86,17 +86,17 @@
             await self.enter(name, service, FIRST)
 
     async def enter(self, name: str, service: str, born: int, **more) -> None:
-        """Write an endpoint's entry, and wait until it is known."""
+        """Write an endpoint's entry, and wait until the gateway has received it."""
         spec = self.endpoints[name].spec(service, born=born, **more)
         await self.store.put("servers", name, spec)
         known = self.gateway.knowledge.instances.registry.known
         await self.until(lambda: name in known and known[name].born == born)
 
 
-class ForgettingTest(RestartCase):
-    """What was known of an earlier start does not hold for the next one."""
+class StateResetTest(RestartCase):
+    """The state of an earlier start does not apply to the next one."""
 
-    async def test_failures_load_and_reading(self):
+    async def test_failures_load_and_prefill(self):
         places = self.gateway.path.places
         name = EndpointName("e1")
         await self.call("/stream/x", b"b", Model="tiny", Token_Count="100,5")
@@ -107,7 +107,7 @@
         self.assertIsNot(places.table.of(name), facts)
         self.assertNotIn(name, places.work.busy_until)
 
-    async def test_a_place_of_an_earlier_start_is_given_back_to_it(self):
+    async def test_a_slot_of_an_earlier_start_is_released_to_it(self):
         places = self.gateway.path.places
         endpoint = self.gateway.knowledge.instances.registry.known[EndpointName("p1")]
         grant = Grant(endpoint, 0.0, WorkKind.QUICK)
@@ -116,7 +116,7 @@
         places.release(grant)
         self.assertEqual(places.table.of(endpoint.name).in_flight, 0)
 
-    async def test_one_that_could_not_be_reached_is_back_at_another_address(self):
+    async def test_an_unreachable_endpoint_restarts_at_another_address(self):
         reach = self.gateway.path.places.reach
         await self.endpoints["p1"].stop()
         self.assertNotEqual((await self.call("/safe/x")).status, 200)
@@ -128,9 +128,9 @@
 
 
 class StreamTest(RestartCase):
-    """What ran at an earlier start is not waited for."""
+    """Requests that ran at an earlier start are not waited for."""
 
-    async def test_a_stream_that_hangs_goes_on_elsewhere(self):
+    async def test_a_hanging_stream_continues_elsewhere(self):
         held = [Behaviour(mute=True)]
         for name in ("e1", "e2"):
             self.endpoints[name].default = Behaviour(events=3)
@@ -140,7 +140,8 @@
         )
         await self.until(lambda: self.runs("e1", "e2") == 1)
         hung = next(name for name in ("e1", "e2") if self.endpoints[name].runs)
-        # Its port answers: the next start listens there, and holds nothing.
+        # The port still answers, as the next start listens there, but that start has
+        # none of the earlier requests.
         await self.enter(hung, "engine", NEXT)
         answer = await call
         self.assertEqual((answer.status, answer.whole), (200, True))
