--- a/tests/coordination/store/test_relaying.py
+++ b/tests/coordination/store/test_relaying.py
@@ -122,8 +122,8 @@
         node = found.peers.node
         for served in ("h2", "h3"):
             for vm, place in known.items():
-                failing = not vm.startswith(served)
-                node.answers[place.address] = ChangesAre(failing=failing)
+                is_failing = not vm.startswith(served)
+                node.answers[place.address] = ChangesAre(failing=is_failing)
             answer = await found.ask("servers", 1, 0.0)
             self.assertFalse(answer.failing, served)
 
