--- a/walnutquay/state/store/parts.py
+++ b/walnutquay/state/store/parts.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The typed models of the fleet's configuration."""
+"""Typed models of the parts of the fleet's configuration."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Part(BaseModel):
-    """The base of each model: unknown keys are errors, values never change."""
+    """The immutable base of each model, which rejects unknown keys."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, defer_build=True)
 
@@ -34,84 +34,85 @@
     """A caller's organisation and what it may use."""
 
     name: Name
-    """The organisation's name, as in reports and bills."""
+    """The organisation's name, as used in reports and bills."""
     keys: tuple[KeyHash, ...] = ()
-    """Hashes of the keys that its callers present: `sha256:` and 64 hex digits."""
+    """Hashes of the keys that its callers present: `sha256:` and 64 hex digits each."""
     versions: tuple[Name, ...] = ()
     """The versions that its requests may run on."""
     cascades: tuple[Name, ...] = ()
-    """The cascades that its requests may name."""
+    """The cascades that its requests may use."""
     services: tuple[Name, ...] = ()
     """The plain services that it may call."""
     weight: Annotated[float, Field(gt=0.0)] = 1.0
-    """Its weight in the fair share of a pool that is full."""
+    """Its weight in the fair sharing of a full pool."""
     priority: int | None = None
-    """Its rank among organisations, 0 the most urgent; none leaves it to the route."""
+    """Its priority, 0 being the most urgent; if unset, the route's priority applies."""
     policy: Name | None = None
-    """The policy program that orders its candidates; none keeps the given order."""
+    """The policy program that orders its candidates; if unset, their order is kept."""
     regions: tuple[Name, ...] = ()
-    """The regions in which its requests may run; none sets no limit."""
+    """The regions in which its requests may run; if empty, there is no limit."""
     on_withdrawn: OnWithdrawn = OnWithdrawn.REFUSE
-    """What happens to a turn whose session's version has been withdrawn."""
+    """How to handle a turn whose session's version has been withdrawn."""
 
 
 class Version(Part):
     """One version of a model."""
 
     name: Name
-    """The version's name, which endpoints know too."""
+    """The version's name, which endpoints use too."""
     model: Name
-    """The model that this is a version of; cascades and roll-outs name models."""
+    """The model that this is a version of; cascades and roll-outs refer to models."""
     state: VersionState = VersionState.ACTIVE
-    """`active`, `draining` (old sessions only) or `withdrawn` (nothing new)."""
+    """`active`, `draining` (existing sessions only) or `withdrawn` (nothing new)."""
     price_input: Price = 0.0
-    """Price of a thousand input tokens."""
+    """The price of a thousand input tokens."""
     price_output: Price = 0.0
-    """Price of a thousand output tokens."""
+    """The price of a thousand output tokens."""
     unconfirmed_for: Seconds = 0.0
-    """Seconds for which a VM that cannot confirm its configuration goes on giving
-    this version new work; 0 sets no limit."""
+    """Seconds for which a VM that cannot confirm its configuration continues to send
+    new requests to this version; 0 sets no limit."""
 
 
 class Cascade(Part):
-    """Models from cheap to costly behind one name."""
+    """Models in order of cost that are offered under one name."""
 
     name: Name
     """The name that callers give as `model`."""
     steps: Annotated[tuple[Name, ...], Field(min_length=1)]
-    """Models, cheapest first."""
+    """The models, cheapest first."""
     quality: Share = 0.0
-    """An answer rated below this goes on to the next step; 0 rates nothing."""
+    """The rating below which a request is escalated to the next step; 0 disables
+    rating."""
     learn: bool = True
-    """Whether steps that are known not to be worth their cost are left out."""
+    """Whether to skip steps that have proved not to be worth their cost."""
     sample: Share = 0.05
-    """The share of answers that nobody waits to have rated which are rated all the
-    same, to learn from them."""
+    """The share of answers to rate, in order to learn from them, among those that need
+    not be rated before they are sent."""
     reach: Share = 0.0
-    """The share of streamed answers that is to have the quality: they begin with the
-    first version known to be good enough; 0 begins with the first."""
+    """The share of streamed answers that must reach the quality: they start with the
+    first version known to be good enough; 0 starts them with the first version."""
 
 
 class Rollout(Part):
-    """A new version of a model that takes over from the present one."""
+    """The gradual replacement of a model's version by a new one."""
 
     name: Name
     """The roll-out's name."""
     model: Name
-    """The model that is rolled out."""
+    """The model of which a new version is rolled out."""
     old: Name
-    """The version that serves new sessions now."""
+    """The version that currently serves new sessions."""
     new: Name
-    """The version that is to take over."""
+    """The version that replaces it."""
     stages: Annotated[tuple[Share, ...], Field(min_length=1)] = (0.05, 0.25, 1.0)
-    """The share of new sessions that the new version gets at each stage."""
+    """The share of new sessions that are assigned to the new version at each stage."""
     stage: Annotated[int, Field(ge=0)] = 0
-    """The index of the stage that is in force."""
+    """The index of the current stage."""
     state: RolloutState = RolloutState.RUNNING
     """`running`, `paused`, `done` or `withdrawn`."""
     automatic: bool = False
-    """Whether a stage whose tests find the new version good goes on to the next by
-    itself."""
+    """Whether to advance to the next stage automatically when the tests of a stage find
+    the new version good."""
 
 
 class Policy(Part):
@@ -120,7 +121,7 @@
     name: Name
     """The policy's name."""
     source: Annotated[str, StringConstraints(max_length=65536)]
-    """The program; it defines `route(request, candidates)`."""
+    """The source of the program, which defines `route(request, candidates)`."""
 
 
 class Pool(Part):
@@ -129,49 +130,49 @@
     name: Name
     """The pool's name."""
     work: WorkKind
-    """`patient` for model work, `quick` for app calls."""
+    """`patient` for model requests, `quick` for calls of plain services."""
     queue_length: Annotated[int, Field(ge=0)] = 64
-    """Requests that may wait on each VM for an endpoint of this pool."""
+    """The number of requests that may wait on each VM for an endpoint of this pool."""
     queue_seconds: Seconds = 10.0
-    """Seconds that a request may wait before it is refused."""
+    """Seconds for which a request may wait before it is refused."""
 
 
 class Endpoint(Part):
-    """One worker that runs versions or a plain service."""
+    """A worker that runs versions of models or a plain service."""
 
     name: Name
     """The endpoint's name."""
     pool: Name
     """The pool that it belongs to."""
     hall: Name
-    """The data hall that it stands in."""
+    """The data hall in which it runs."""
     address: str
-    """`http://IP:port` of the worker."""
+    """The address of the worker: `http://IP:port`."""
     versions: tuple[Name, ...] = ()
     """The versions that it has loaded."""
     service: Name | None = None
     """The plain service that it runs."""
     slots: Annotated[int, Field(ge=1)] = 8
-    """Requests that it runs at once."""
+    """The number of requests that it runs concurrently."""
     leaving: bool = False
-    """Whether it is being taken away: it then gets no new work."""
+    """Whether it is being shut down and must not be sent new requests."""
     checks_fences: bool = False
-    """Whether it refuses orders that carry an older fence."""
+    """Whether it refuses orders with an older fence."""
 
 
 class Hall(Part):
-    """A data hall whose endpoints are treated unlike others."""
+    """A data hall whose endpoints are treated differently from others."""
 
     name: Name
-    """The data hall, as endpoints name it."""
+    """The data hall's name, as endpoints give it."""
     emptied: bool = False
-    """Whether its endpoints get nothing more; what runs there runs on."""
+    """Whether its endpoints are sent no new requests; those in progress continue."""
     region: Name = "default"
-    """The region that it stands in."""
+    """The region to which it belongs."""
 
 
 class Service(Part):
-    """A plain service beside the model engines."""
+    """A plain service, which runs no models."""
 
     name: Name
     """The name in the path `/services/<name>/`."""
@@ -180,6 +181,6 @@
     repeatable: tuple[str, ...] = ("GET", "HEAD", "OPTIONS")
     """The methods whose calls may be repeated after a failure."""
     timeout_seconds: Annotated[float, Field(gt=0.0)] = 10.0
-    """Seconds that one call may take."""
+    """Seconds for which one call may last."""
     price_call: Price = 0.0
-    """Price of one call."""
+    """The price of one call."""
