--- a/tests/coordination/store/test_relaying.py
+++ b/tests/coordination/store/test_relaying.py
@@ -49,11 +49,11 @@
 
     def __init__(self) -> None:
         self.answers: dict[Address, ChangesAre] = {}
-        self.asked: list[str] = []
+        self.called: list[str] = []
 
     async def call(self, address, body, limit, peer):
         """Return the answer that is set for an address."""
-        self.asked.append(peer)
+        self.called.append(peer)
         if address not in self.answers:
             raise PeerError("no answer", peer=peer)
         return self.answers[address]
@@ -103,10 +103,10 @@
             if vm not in near:
                 node.answers[place.address] = ChangesAre(direct=vm.startswith("h2"))
         await found.ask("servers", 1, 0.0)
-        self.assertEqual(set(node.asked[:WATCHERS]), set(near))
-        node.asked.clear()
+        self.assertEqual(set(node.called[:WATCHERS]), set(near))
+        node.called.clear()
         await found.ask("servers", 1, 0.0)
-        self.assertFalse(set(node.asked) & set(near))
+        self.assertFalse(set(node.called) & set(near))
 
     async def test_the_answer_of_a_vm_that_the_store_serves_is_used(self):
         found, _, known = self.follower()
@@ -115,7 +115,7 @@
             node.answers[place.address] = ChangesAre(failing=vm.startswith("h1"))
         answer = await found.ask("servers", 1, 0.0)
         self.assertFalse(answer.failing)
-        self.assertEqual(len(node.asked), WATCHERS + 1)
+        self.assertEqual(len(node.called), WATCHERS + 1)
 
     async def test_the_only_hall_that_the_store_serves_is_found(self):
         found, _, known = self.follower()
@@ -130,7 +130,7 @@
     async def test_after_a_timeout_not_all_halls_are_queried(self):
         found, near, _ = self.follower()
         self.assertIsNone(await found.ask("servers", 1, 0.0))
-        self.assertEqual(len(found.peers.node.asked), len(near) + 1)
+        self.assertEqual(len(found.peers.node.called), len(near) + 1)
 
     async def test_a_vm_that_does_not_watch_the_store_is_no_source(self):
         found, _, known = self.follower()
