--- a/lab/mutants/own.py
+++ b/lab/mutants/own.py
@@ -17,7 +17,7 @@
     Mutation(
         "withdrawn: asked again right before the dispatch",
         "coordination/requests/paths.py",
-        "refusal = self.still_allowed(turn)",
+        "refusal = self.no_longer_allowed(turn)",
         "refusal = None",
         "tests.processes.test_sessions.WithdrawnWhileWaitingTest",
     ),
@@ -104,7 +104,7 @@
     Mutation(
         "the true refusal: a stage that was left is of no use",
         "state/requests/stages.py",
-        "if self.journey.stage is not self:",
+        "if self.progress.stage is not self:",
         "if False:",
         "tests.state.requests.test_requests",
     ),
@@ -133,7 +133,7 @@
     Mutation(
         "a leaving endpoint: the first word wins",
         "state/requests/endpoints.py",
-        "if facts.incarnation and incarnation > facts.incarnation:",
+        "if state.incarnation and incarnation > state.incarnation:",
         "if True:",
         "tests.processes.test_whole_answers.LeavingTest",
     ),
--- a/walnutquay/daemon/gatewayapi.py
+++ b/walnutquay/daemon/gatewayapi.py
@@ -151,7 +151,7 @@
         return self._response(outcome)
 
     async def _arrival(self, request: BaseRequest) -> RoutedArrival:
-        came = monotonic()
+        arrived_at = monotonic()
         head = _read_head(request)
         body = await self._read_body(request)
         route, organisation, catalogue = await self._admit(request, head)
@@ -162,15 +162,15 @@
             head.request or self.context.new_request(),
             organisation,
             body,
-            came + left,
+            arrived_at + left,
             request_class=route.name,
             head=head,
             method=request.method,
             target=request.raw_path,
             route=route,
             catalogue_version=catalogue.version,
-            came=came,
-            keyed=bool(catalogue.organisations),
+            arrived_at=arrived_at,
+            found_by_key=bool(catalogue.organisations),
             reply=self._reply(request, route),
         )
 
@@ -245,7 +245,7 @@
             detail=refusal.code.value,
             reason=refusal.reason,
             retry_after=refusal.retry_after,
-            **self.path.facts_known(),
+            **self.path.facts_state_age(),
         )
         response = _refusal_response(refusal, request.headers.get(names.REQUEST_ID))
         if not request.content.at_eof():
@@ -256,7 +256,7 @@
     def _response(self, outcome: Outcome) -> Response:
         if isinstance(outcome, Refused):
             proof = outcome.proof
-            return _refusal_response(proof.refusal, proof.journey.request)
+            return _refusal_response(proof.refusal, proof.progress.request)
         if isinstance(outcome, Unknown):
             return _unknown_response(outcome)
         assert isinstance(outcome, Whole)
@@ -313,7 +313,7 @@
         status=outcome.status,
         content_type=JSON_TYPE,
     )
-    _label(response, outcome.stage.journey.request, outcome.retry_after)
+    _label(response, outcome.stage.progress.request, outcome.retry_after)
     return response
 
 
