--- a/walnutquay/coordination/trials/versions.py
+++ b/walnutquay/coordination/trials/versions.py
@@ -195,7 +195,7 @@
         :returns: the versions that the requests may use; None for all.
         """
         instances = self.knowledge.instances
-        running = instances.registry.usable_versions(service)
+        running = instances.registry.versions_of(service)
         first = instances.first_versions.get(service, running)
         trial = self.trial_of(service)
         on_trial = trial.order.version if trial is not None else None
@@ -257,9 +257,7 @@
         if trial.rejected:
             return False, ChoiceReason.BRAKED
         version = trial.order.version
-        if version not in self.knowledge.instances.registry.usable_versions(
-            turn.service
-        ):
+        if version not in self.knowledge.instances.registry.versions_of(turn.service):
             return False, ChoiceReason.NONE_RUNS
         on_new = session_record is not None and session_record.version == version
         seen_on_new = (
--- a/walnutquay/state/store/instances.py
+++ b/walnutquay/state/store/instances.py
@@ -185,7 +185,7 @@
             ]
         return found
 
-    def usable_versions(self, service: ServiceName) -> set[VersionName]:
+    def versions_of(self, service: ServiceName) -> set[VersionName]:
         """Return the versions of a service's instances that may be sent requests.
 
         :param service: the service.
