--- a/walnutquay/coordination/store/relaying.py
+++ b/walnutquay/coordination/store/relaying.py
@@ -124,7 +124,7 @@
         self.watching = self.watchers.includes_this()
         if not self.watching:
             wait = min(seconds, self.poll)
-            answer = await self.watchers.ask(self.kind, revision, wait)
+            answer = await self.watchers.query(self.kind, revision, wait)
             if answer is not None:
                 return self._read(answer)
             self.watching = True
