--- a/walnutquay/coordination/own/admission.py
+++ b/walnutquay/coordination/own/admission.py
@@ -87,7 +87,7 @@
             found = current.endpoints_of_service.get(target, [])
         return [item for item in found if item.hall not in current.emptied_halls]
 
-    def used(self) -> list[Endpoint]:
+    def endpoints_in_use(self) -> list[Endpoint]:
         """:returns: the endpoints that this VM uses for anything."""
         current = self.configurations.current
         targets = [*current.endpoints_of_version, *current.endpoints_of_service]
--- a/walnutquay/coordination/own/endpoints.py
+++ b/walnutquay/coordination/own/endpoints.py
@@ -35,7 +35,7 @@
 MAX_REPORTERS = 16
 
 
-class EndpointNews:
+class EndpointMonitor:
     """Feeds the endpoint table from reports, the VM list and peers.
 
     :param context: what this process shares.
@@ -55,7 +55,7 @@
     ) -> None:
         self.context = context
         # Gives the endpoints that this VM uses; set once admission is made.
-        self.used: Callable[[], list[Endpoint]] = list
+        self.endpoints_in_use: Callable[[], list[Endpoint]] = list
         self.table = table
         self.configurations = configurations
         self.members = members
@@ -84,7 +84,7 @@
 
     async def ask_all(self) -> None:
         """Ask the endpoints that this VM uses for their load."""
-        endpoints = self.used()
+        endpoints = self.endpoints_in_use()
         if len(endpoints) > MAX_REPORTERS:
             endpoints = self.context.rng.sample(endpoints, MAX_REPORTERS)
         await asyncio.gather(*(self._ask(endpoint) for endpoint in endpoints))
--- a/walnutquay/coordination/own/parts.py
+++ b/walnutquay/coordination/own/parts.py
@@ -12,7 +12,7 @@
 from walnutquay.coordination.own.chats import ChatPath
 from walnutquay.coordination.own.claims import Claims
 from walnutquay.coordination.own.configurations import Configurations
-from walnutquay.coordination.own.endpoints import EndpointNews
+from walnutquay.coordination.own.endpoints import EndpointMonitor
 from walnutquay.coordination.own.engines import Engines
 from walnutquay.coordination.own.health import VersionHealth
 from walnutquay.coordination.own.keyed import KeyedParts
@@ -106,11 +106,11 @@
         context = self.context
         self.client = HttpClient(HEADER_REQUEST_ID, stray_teller(context))
         self.table = EndpointTable(context.hall, context.rng)
-        self.endpoint_news = EndpointNews(
+        self.endpoint_news = EndpointMonitor(
             context, self.table, self.configurations, self.members, self.dispatcher
         )
         self.admission = Admission(context, self.configurations, self.table)
-        self.endpoint_news.used = self.admission.used
+        self.endpoint_news.endpoints_in_use = self.admission.endpoints_in_use
         self.claims = Claims(
             context,
             self.platform,
--- a/walnutquay/coordination/own/rollouts.py
+++ b/walnutquay/coordination/own/rollouts.py
@@ -9,7 +9,7 @@
 
 from walnutquay.coordination.own.acceptance import Acceptance
 from walnutquay.coordination.own.configurations import Configurations
-from walnutquay.coordination.own.endpoints import EndpointNews
+from walnutquay.coordination.own.endpoints import EndpointMonitor
 from walnutquay.coordination.own.health import VersionHealth
 from walnutquay.coordination.own.leases import Lease
 from walnutquay.coordination.process.context import Context
@@ -48,7 +48,7 @@
         context: Context,
         configurations: Configurations,
         acceptance: Acceptance,
-        news: EndpointNews,
+        news: EndpointMonitor,
         health: VersionHealth,
         lease: Lease,
     ) -> None:
