--- a/lab/mutants/own.py
+++ b/lab/mutants/own.py
@@ -39,7 +39,7 @@
     Mutation(
         "a session keeps its version: bare sessions are kept twice",
         "coordination/own/pins.py",
-        "if standing:\n            self.tokens",
+        "if existing:\n            self.tokens",
         "if False:\n            self.tokens",
         "tests.processes.test_sessions.SessionTest."
         "test_a_bare_session_id_through_a_roll_out_and_a_lost_keeper",
@@ -61,7 +61,7 @@
     Mutation(
         "billed once: a caller who leaves pays for what it got",
         "coordination/own/chats.py",
-        "if passed.begun and not passed.billed:",
+        "if forwarded.begun and not forwarded.billed:",
         "if False:",
         "tests.processes.test_whole_answers.WholeAnswerTest."
         "test_a_caller_who_leaves_is_billed_once_for_what_it_got",
--- a/walnutquay/coordination/own/admission.py
+++ b/walnutquay/coordination/own/admission.py
@@ -60,9 +60,11 @@
         :returns: the endpoints that this VM uses for it, where it may run.
         """
         region_of = self.configurations.current.regions
-        near = filter_by_region(self.endpoints_of(need.target), need.regions, region_of)
-        if near or need.regions is None:
-            return near
+        permitted = filter_by_region(
+            self.endpoints_of(need.target), need.regions, region_of
+        )
+        if permitted or need.regions is None:
+            return permitted
         return filter_by_region(
             self._all_endpoints_of(need.target), need.regions, region_of
         )
@@ -73,12 +75,12 @@
         :param target: the version or service.
         :returns: its subset; all that there are where none of it is left.
         """
-        everything = self._all_endpoints_of(target)
+        all_endpoints = self._all_endpoints_of(target)
         chosen = self.subsets.get(target)
         if chosen is None:
-            chosen = subset(everything, self.context.vm, self.context.hall)
+            chosen = subset(all_endpoints, self.context.vm, self.context.hall)
             self.subsets[target] = chosen
-        return chosen if self.table.usable_count(chosen) else everything
+        return chosen if self.table.usable_count(chosen) else all_endpoints
 
     def _all_endpoints_of(self, target: str) -> list[Endpoint]:
         current = self.configurations.current
@@ -171,8 +173,10 @@
             self.wake(name)
 
     def _unusable(self, need: SlotRequest, endpoints: list[Endpoint]) -> Refusal | None:
-        left = [endpoint for endpoint in endpoints if endpoint.name not in need.tried]
-        if self.table.usable_count(left):
+        untried = [
+            endpoint for endpoint in endpoints if endpoint.name not in need.tried
+        ]
+        if self.table.usable_count(untried):
             return None
         return Refusal(
             RefusalCode.NO_ENDPOINT,
@@ -203,16 +207,16 @@
 
     def _has_room(self, now: float) -> Callable[[Waiting], bool]:
         """Make the test whether a request that waits can have a place now."""
-        known: dict[tuple[str, frozenset[str], object], bool] = {}
+        has_room_by_key: dict[tuple[str, frozenset[str], object], bool] = {}
 
         def has_room(waiting: Waiting) -> bool:
             need = self.waiters[waiting.request].need
-            question = (waiting.target, waiting.tried, need.regions)
-            if question not in known:
+            key = (waiting.target, waiting.tried, need.regions)
+            if key not in has_room_by_key:
                 endpoints = self.endpoints_for(need)
                 choice = self.table.choose(endpoints, now, tried=waiting.tried)
-                known[question] = choice is not None
-            return known[question]
+                has_room_by_key[key] = choice is not None
+            return has_room_by_key[key]
 
         return has_room
 
@@ -245,19 +249,19 @@
             async with asyncio.timeout(until - now):
                 return await asyncio.shield(waiter.future)
         except TimeoutError:
-            return self._too_late(queue, waiter, endpoints)
+            return self._on_timeout(queue, waiter, endpoints)
         except asyncio.CancelledError:
-            self._gone(queue, waiter)
+            self._on_cancelled(queue, waiter)
             raise
         finally:
             self.context.metrics.record("queue", monotonic() - now)
 
-    def _too_late(
+    def _on_timeout(
         self, queue: PoolQueue, waiter: _Waiter, endpoints: list[Endpoint]
     ) -> Result[Grant, Refusal]:
         if waiter.future.done():
             return waiter.future.result()
-        self._forget(queue, waiter)
+        self._leave_queue(queue, waiter)
         need = waiter.need
         wait = queue.expected_wait(
             self._slots(endpoints), need.organisation, need.weight
@@ -270,15 +274,15 @@
             )
         )
 
-    def _gone(self, queue: PoolQueue, waiter: _Waiter) -> None:
+    def _on_cancelled(self, queue: PoolQueue, waiter: _Waiter) -> None:
         """The caller has gone: give back the place, or leave the queue."""
         if not waiter.future.done():
-            self._forget(queue, waiter)
+            self._leave_queue(queue, waiter)
             return
         result = waiter.future.result()
         if result.is_ok():
             self.release(result.ok)
 
-    def _forget(self, queue: PoolQueue, waiter: _Waiter) -> None:
+    def _leave_queue(self, queue: PoolQueue, waiter: _Waiter) -> None:
         queue.remove(waiter.need.request)
         self.waiters.pop(waiter.need.request, None)
--- a/walnutquay/coordination/own/chats.py
+++ b/walnutquay/coordination/own/chats.py
@@ -17,7 +17,7 @@
 from walnutquay.coordination.own.keyed import KeyedParts, KeyedPath
 from walnutquay.coordination.own.planning import ChatPlanner
 from walnutquay.coordination.own.quality import AnswerQuality
-from walnutquay.coordination.own.turns import ChatTurn, PassedStream
+from walnutquay.coordination.own.turns import ChatTurn, ForwardedStream
 from walnutquay.coordination.requests.outcomes import (
     ChatArrival,
     Outcome,
@@ -96,7 +96,7 @@
             turn.arrival.organisation.name,
             turn.target,
             turn.bound,
-            self.planner.doubts(),
+            self.planner.local_restrictions(),
         )
 
     def retarget(self, turn: ChatTurn, refusal: Refusal) -> bool:
@@ -155,7 +155,7 @@
         started = monotonic()
         if turn.arrival.call.stream:
             return await self._stream(turn, running, grant, call)
-        answer = await self.engines.whole(call)
+        answer = await self.engines.fetch_answer(call)
         self._succeeded(turn, grant, monotonic() - started)
         return await self._answered(turn, running, grant, answer)
 
@@ -167,7 +167,7 @@
         :param error: how it failed.
         """
         super().count_failure(turn, grant, error)
-        self.parts.health.note(turn.target, good=False)
+        self.parts.health.record_outcome(turn.target, good=False)
 
     def _engine_call(
         self, turn: ChatTurn, running: Dispatched, grant: Grant
@@ -187,7 +187,9 @@
         self.parts.table.succeeded(grant.name, kind, seconds, monotonic())
         self.on_whole_answer(turn, grant)
         self.on_success(turn)
-        self.parts.health.note(turn.target, True, turn.arrival.request_class, seconds)
+        self.parts.health.record_outcome(
+            turn.target, True, turn.arrival.request_class, seconds
+        )
 
     # Whole answers.
 
@@ -197,28 +199,28 @@
         """Take a step's answer, or go on to the next step."""
         if answer.status == 200:
             turn.lines.append(turn.cost(grant.name, answer.usage))
-            self.quality.took(turn, answer.usage)
+            self.quality.record_usage(turn, answer.usage)
         whole = WholeAnswer(
             answer.status,
             chat.JSON_TYPE,
             answer.body,
             tuple(self._headers(turn, grant).items()),
         )
-        if await self._too_low(turn, answer):
+        if await self._below_quality(turn, answer):
             turn.best = whole
             turn.next_step()
             return running.proceed()
         running.answered()
         return await self._finish(turn, whole)
 
-    async def _too_low(self, turn: ChatTurn, answer: EngineAnswer) -> bool:
+    async def _below_quality(self, turn: ChatTurn, answer: EngineAnswer) -> bool:
         """Have an answer rated, where another step could better it."""
         if answer.status != 200 or not turn.plan.quality:
             return False
         if turn.last_step:
             self.quality.sample(turn, answer.body)
             return False
-        return not await self.quality.reaches(turn, answer.body)
+        return not await self.quality.reaches_quality(turn, answer.body)
 
     async def _finish(self, turn: ChatTurn, answer: WholeAnswer) -> Whole:
         await self._bill(turn)
@@ -236,7 +238,7 @@
         pin = turn.pin.after(
             turn.version.model, turn.version.name, grant.name, current.revision
         )
-        if turn.bare:
+        if turn.tokenless:
             self.planner.pins.update(pin)
         turn.pin = pin
         return {
@@ -256,68 +258,70 @@
         """Pass a stream on; its end mark goes out once the bill is safe."""
         reply = turn.arrival.reply
         assert reply is not None
-        passed = PassedStream()
-        passed.sampled = self.quality.wants_sample(turn)
-        passed.keep = passed.sampled or bool(turn.arrival.key)
+        forwarded = ForwardedStream()
+        forwarded.sampled = self.quality.should_sample(turn)
+        forwarded.keep_events = forwarded.sampled or bool(turn.arrival.key)
         started = monotonic()
         try:
-            await self._pass_on(turn, grant, call, reply, passed)
+            await self._forward(turn, grant, call, reply, forwarded)
         except EngineRefusalError as error:
             return await self._answered(turn, running, grant, error.answer)
         except EndpointError as error:
-            if not passed.begun:
+            if not forwarded.begun:
                 raise
-            return await self._broken(turn, running, grant, reply, error)
+            return await self._on_broken_stream(turn, running, grant, reply, error)
         except asyncio.CancelledError:
             # The caller has gone: what it was given is billed all the same.
-            if passed.begun and not passed.billed:
-                turn.lines.append(turn.cost(grant.name, passed.usage()))
+            if forwarded.begun and not forwarded.billed:
+                turn.lines.append(turn.cost(grant.name, forwarded.usage()))
                 self.background.spawn(self._bill(turn))
             raise
-        self._succeeded(turn, grant, monotonic() - started - passed.passing_seconds)
+        self._succeeded(
+            turn, grant, monotonic() - started - forwarded.forwarding_seconds
+        )
         running.answered()
-        self._keep_stream(turn, passed)
+        self._record_stream(turn, forwarded)
         return Streamed(whole=True)
 
-    def _keep_stream(self, turn: ChatTurn, passed: PassedStream) -> None:
+    def _record_stream(self, turn: ChatTurn, forwarded: ForwardedStream) -> None:
         """Learn from a whole stream, and keep it for repeats of its key."""
-        self.quality.took(turn, passed.usage())
-        if passed.sampled:
-            self.quality.rate_later(turn, chat.whole_of(passed.events))
+        self.quality.record_usage(turn, forwarded.usage())
+        if forwarded.sampled:
+            self.quality.rate_in_background(turn, chat.whole_of(forwarded.events))
         if turn.arrival.key:
             stream = WholeAnswer(
                 200,
                 chat.STREAM_TYPE,
-                b"".join(passed.events),
-                tuple(passed.headers.items()),
+                b"".join(forwarded.events),
+                tuple(forwarded.headers.items()),
             )
             self.parts.claims.finish(turn.arrival.request, RunState.ANSWERED, stream)
 
-    async def _pass_on(
+    async def _forward(
         self,
         turn: ChatTurn,
         grant: Grant,
         call: EngineCall,
         reply: Reply,
-        passed: PassedStream,
+        forwarded: ForwardedStream,
     ) -> None:
         async for event in self.engines.events(call):
-            if not passed.begun:
-                passed.headers = self._headers(turn, grant)
-                passed.begun = True
+            if not forwarded.begun:
+                forwarded.headers = self._headers(turn, grant)
+                forwarded.begun = True
                 grant.began = monotonic()
-                await reply.begin(passed.headers)
-            passed.take(event)
-            passing = monotonic()
+                await reply.begin(forwarded.headers)
+            forwarded.take(event)
+            write_started = monotonic()
             if event == chat.END_MARK:
-                turn.lines.append(turn.cost(grant.name, passed.usage()))
+                turn.lines.append(turn.cost(grant.name, forwarded.usage()))
                 # A caller who goes away from here on must not be billed again.
-                passed.billed = True
+                forwarded.billed = True
                 await self._bill(turn)
             await reply.write(event)
-            passed.passing_seconds += monotonic() - passing
+            forwarded.forwarding_seconds += monotonic() - write_started
 
-    async def _broken(
+    async def _on_broken_stream(
         self,
         turn: ChatTurn,
         running: Dispatched,
--- a/walnutquay/coordination/own/endpoints.py
+++ b/walnutquay/coordination/own/endpoints.py
@@ -65,12 +65,12 @@
         # The versions that each endpoint last reported as loaded.
         self.loaded: dict[str, frozenset[str]] = {}
         configurations.listeners.append(self.on_configuration)
-        members.on_endpoints.append(self.on_list)
+        members.on_endpoints.append(self.on_vm_list)
         dispatcher.on(EndpointLeaving, self.on_peer)
 
     def start(self) -> None:
         """Begin to ask for reports."""
-        self.context.timers.every("load-reports", REPORT_PERIOD, self.ask_all)
+        self.context.timers.every("load-reports", REPORT_PERIOD, self.request_reports)
 
     async def close(self) -> None:
         """Close the connections for reports."""
@@ -82,14 +82,16 @@
         for name in set(self.loaded) - set(configuration.endpoints):
             del self.loaded[name]
 
-    async def ask_all(self) -> None:
+    async def request_reports(self) -> None:
         """Ask the endpoints that this VM uses for their load."""
         endpoints = self.endpoints_in_use()
         if len(endpoints) > MAX_REPORTERS:
             endpoints = self.context.rng.sample(endpoints, MAX_REPORTERS)
-        await asyncio.gather(*(self._ask(endpoint) for endpoint in endpoints))
+        await asyncio.gather(
+            *(self._request_report(endpoint) for endpoint in endpoints)
+        )
 
-    async def _ask(self, endpoint: Endpoint) -> None:
+    async def _request_report(self, endpoint: Endpoint) -> None:
         url = f"{endpoint.address}/report"
         try:
             report = await get_json(self.session, url, REPORT_TIMEOUT)
@@ -104,13 +106,13 @@
         if "versions" in report:
             self.loaded[name] = frozenset(report["versions"])
         if report.get("leaving"):
-            self.learn_leaving(name, LeavingSource.ENDPOINT, incarnation)
+            self.record_leaving(name, LeavingSource.ENDPOINT, incarnation)
 
-    def on_list(self, listed: list[ListedEndpoint]) -> None:
+    def on_vm_list(self, listed: list[ListedEndpoint]) -> None:
         """:param listed: endpoints as the platform's list has them."""
         for entry in listed:
             if entry.leaving:
-                self.learn_leaving(
+                self.record_leaving(
                     EndpointName(entry.name), LeavingSource.VM_LIST, entry.incarnation
                 )
 
@@ -119,9 +121,9 @@
         body = envelope.body
         assert isinstance(body, EndpointLeaving)
         name = EndpointName(body.endpoint)
-        self.learn_leaving(name, LeavingSource.PEER, body.incarnation)
+        self.record_leaving(name, LeavingSource.PEER, body.incarnation)
 
-    def learn_leaving(
+    def record_leaving(
         self, name: EndpointName, source: LeavingSource, incarnation: str = ""
     ) -> None:
         """Note that an endpoint is leaving, and tell the others if it is news.
--- a/walnutquay/coordination/own/engines.py
+++ b/walnutquay/coordination/own/engines.py
@@ -54,7 +54,7 @@
             HEADER_PRIORITY: self.priority,
         }
 
-    def left(self) -> float:
+    def remaining_seconds(self) -> float:
         """:returns: seconds until the deadline, and a little at the least."""
         return max(0.05, self.deadline - monotonic())
 
@@ -99,7 +99,7 @@
     def __init__(self, client: HttpClient) -> None:
         self.client = client
 
-    async def whole(self, call: EngineCall) -> EngineAnswer:
+    async def fetch_answer(self, call: EngineCall) -> EngineAnswer:
         """Get a whole answer; one that broke on the way is fetched again.
 
         :param call: the dispatch.
@@ -124,10 +124,10 @@
             peer=call.endpoint.name,
             data=call.body,
             headers=call.headers(),
-            timeout=call.left(),
+            timeout=call.remaining_seconds(),
         ) as answer:
             self._check(call, answer.status, answer.headers)
-            return _whole(call, answer.status, await answer.read())
+            return _parse_answer(call, answer.status, await answer.read())
 
     async def _fetch_again(self, call: EngineCall) -> EngineAnswer | None:
         """Ask the engine for the answer to a dispatch that it may have kept."""
@@ -137,13 +137,13 @@
                 "GET",
                 url,
                 peer=call.endpoint.name,
-                timeout=call.left(),
+                timeout=call.remaining_seconds(),
                 idle=call.idle,
             ) as answer:
                 if answer.status != 200:
                     return None
                 self._check(call, answer.status, answer.headers)
-                return _whole(call, answer.status, await answer.read())
+                return _parse_answer(call, answer.status, await answer.read())
         except EndpointError:
             return None
 
@@ -169,20 +169,20 @@
         :raises NotStartedError: if the engine cannot have begun.
         :raises EndpointError: if the stream ends before its end mark.
         """
-        passed = 0
+        forwarded = 0
         # How it broke first: that an engine cannot take it up again is no cause.
-        broke: EndpointError | None = None
+        first_error: EndpointError | None = None
         url = call.endpoint.address + CHAT_PATH
         for attempt in range(RESUME_TRIES + 1):
-            method = "GET" if passed or attempt else "POST"
+            method = "GET" if forwarded or attempt else "POST"
             if method == "GET":
                 url = (
                     f"{call.endpoint.address}/v1/requests/{call.dispatch}/events"
-                    f"?from={passed}"
+                    f"?from={forwarded}"
                 )
             try:
                 async for event in self._stream(call, method, url):
-                    passed += 1
+                    forwarded += 1
                     yield event
                     if event == chat.END_MARK:
                         return
@@ -192,16 +192,16 @@
                     peer=call.endpoint.name,
                 )
             except NotStartedError as error:
-                if broke is None:
+                if first_error is None:
                     raise
                 # It began at an earlier attempt, whatever it says of this one.
-                raise broke from error
+                raise first_error from error
             except EngineRefusalError:
                 raise
             except EndpointError as error:
-                broke = broke or error
+                first_error = first_error or error
                 if attempt == RESUME_TRIES or call.deadline <= monotonic():
-                    raise broke from (None if broke is error else error)
+                    raise first_error from (None if first_error is error else error)
 
     async def _stream(
         self, call: EngineCall, method: str, url: str
@@ -213,7 +213,7 @@
             peer=call.endpoint.name,
             data=call.body if method == "POST" else None,
             headers=call.headers(),
-            timeout=call.left(),
+            timeout=call.remaining_seconds(),
             idle=call.idle,
         ) as answer:
             self._check(call, answer.status, answer.headers)
@@ -224,7 +224,7 @@
                     yield event
 
 
-def _whole(call: EngineCall, status: int, body: bytes) -> EngineAnswer:
+def _parse_answer(call: EngineCall, status: int, body: bytes) -> EngineAnswer:
     """Check that an answer is whole: parsed JSON with an end to each choice."""
     if status != 200:
         return EngineAnswer(status, body)
--- a/walnutquay/coordination/own/health.py
+++ b/walnutquay/coordination/own/health.py
@@ -45,12 +45,12 @@
         self.members = members
         self.tallies = tallies
         self.table = BrakeTable()
-        self.pace = DurationTable()
+        self.duration_table = DurationTable()
         # The stage of each version in roll-out, and since when it is in force here.
-        self.since: dict[str, tuple[str, float]] = {}
+        self.stage_since: dict[str, tuple[str, float]] = {}
         configurations.listeners.append(self.on_configuration)
         dispatcher.on(VersionBrake, self.on_peer)
-        tallies.listeners.append(self.on_tally)
+        tallies.listeners.append(self.on_outcome_counts)
 
     def on_configuration(self, configuration: Configuration) -> None:
         """:param configuration: what came into force."""
@@ -63,9 +63,9 @@
         }
         self.table.under_rollout(stages)
         now = monotonic()
-        self.since = {
-            version: self.since[version]
-            if self.since.get(version, ("", 0.0))[0] == stage.key
+        self.stage_since = {
+            version: self.stage_since[version]
+            if self.stage_since.get(version, ("", 0.0))[0] == stage.key
             else (stage.key, now)
             for version, stage in stages.items()
         }
@@ -78,10 +78,10 @@
         :returns: seconds for which its roll-out has stood where it stands, as far
             as this VM has seen it; None where it is in none.
         """
-        since = self.since.get(version)
+        since = self.stage_since.get(version)
         return round(monotonic() - since[1], 1) if since is not None else None
 
-    def note(
+    def record_outcome(
         self, version: str, good: bool, request_class: str = "", seconds: float = 0.0
     ) -> None:
         """Count how a dispatch ended; brake where it is due.
@@ -97,12 +97,12 @@
             if not good or not seconds:
                 continue
             if version == stage.old:
-                self.pace.learn(request_class, seconds)
-            slow = self.pace.is_slow(request_class, seconds)
+                self.duration_table.learn(request_class, seconds)
+            slow = self.duration_table.is_slow(request_class, seconds)
             if slow is not None:
                 self._count(stage, Measure.SLOW, version, not slow)
 
-    def note_rating(self, version: str, reached: bool) -> None:
+    def record_rating(self, version: str, reached: bool) -> None:
         """Count a rating.
 
         :param version: the version that answered.
@@ -115,7 +115,7 @@
         subject = SEPARATOR.join((TRIAL, stage.key, measure.value, version))
         self.tallies.add(subject, good)
 
-    def on_tally(self, subject: str, good: int, bad: int) -> None:
+    def on_outcome_counts(self, subject: str, good: int, bad: int) -> None:
         """Take in outcomes that this VM or another one has counted.
 
         :param subject: what was counted.
@@ -127,7 +127,7 @@
         _, stage, measure, version = subject.split(SEPARATOR)
         if not self.table.take(stage, version, Measure(measure), good, bad):
             return
-        self._tell(version, f"the test of {measure} outcomes says so")
+        self._log_rejection(version, f"the test of {measure} outcomes says so")
         self.members.tell_all(VersionBrake(version))
 
     def on_peer(self, envelope: Envelope) -> None:
@@ -135,9 +135,9 @@
         assert isinstance(envelope.body, VersionBrake)
         version = envelope.body.version
         if self.table.brake(version):
-            self._tell(version, f"{envelope.vm} says so")
+            self._log_rejection(version, f"{envelope.vm} says so")
 
-    def _tell(self, version: str, why: str) -> None:
+    def _log_rejection(self, version: str, why: str) -> None:
         self.context.timeline.emit(EventKind.BRAKED, version=version, detail=why)
 
 
--- a/walnutquay/coordination/own/keyed.py
+++ b/walnutquay/coordination/own/keyed.py
@@ -96,7 +96,7 @@
         not_accepting = self.not_accepting()
         if not_accepting is not None:
             reason = f"{not_accepting.reason}; it was not asked whether the key has run"
-            return self._cannot_tell(stage, reason, not_accepting.retry_after)
+            return self._claim_unavailable(stage, reason, not_accepting.retry_after)
         claims = self.parts.claims
         result = await claims.acquire(
             arrival.organisation.name,
@@ -105,7 +105,7 @@
             arrival.request,
         )
         if not result.granted:
-            return self._repeat(stage, result)
+            return self._answer_repeat(stage, result)
         return await self._run_claimed(arrival, stage.granted())
 
     async def _run_claimed(self, arrival: Arrival, stage: Received) -> Outcome:
@@ -126,7 +126,7 @@
                 claims.abandon(arrival.request)
                 self.background.spawn(claims.release(arrival.request))
 
-    def _cannot_tell(
+    def _claim_unavailable(
         self, stage: Unclaimed, reason: str, retry_after: float | None
     ) -> Unknown:
         return Unknown(
@@ -137,7 +137,7 @@
             retry_after,
         )
 
-    def _repeat(self, stage: Unclaimed, result: ClaimResult) -> Outcome:
+    def _answer_repeat(self, stage: Unclaimed, result: ClaimResult) -> Outcome:
         """Answer a request whose key another one holds."""
         if result.action is RepeatAction.GIVE_ANSWER and result.answer is not None:
             stage.repeated()
@@ -164,4 +164,4 @@
                 "may have been, and its outcome cannot be told",
             )
         reason = f"the idempotency key cannot be claimed now: {result.reason}"
-        return self._cannot_tell(stage, reason, CLAIM_RETRY)
+        return self._claim_unavailable(stage, reason, CLAIM_RETRY)
--- a/walnutquay/coordination/own/pins.py
+++ b/walnutquay/coordination/own/pins.py
@@ -25,10 +25,10 @@
 
 log = logbook.Logger(__name__)
 
-ASK_SECONDS = 0.5
-KEEPERS = 2
+QUERY_SECONDS = 0.5
+PIN_REPLICAS = 2
 # VMs that are asked for a pin: its keepers, and who was one before a VM joined.
-LOOKED_AT = 4
+MAX_QUERIED = 4
 
 SessionKey = tuple[str, str]
 
@@ -56,7 +56,7 @@
         self.sealer = sealer
         self.size = size
         self.tokens: OrderedDict[SessionKey, str] = OrderedDict()
-        dispatcher.on(AskPin, self.on_ask)
+        dispatcher.on(AskPin, self.on_query)
         dispatcher.on(CopyPin, self.on_copy)
 
     async def find(self, organisation: str, session: str) -> Pin | None:
@@ -66,11 +66,11 @@
         :param session: its id.
         :returns: the pin, or None where nobody keeps one.
         """
-        question = AskPin(organisation, session, "")
+        query = AskPin(organisation, session, "")
         # A VM that has just joined may be the first in rank and know nothing;
         # those that were keepers before it come next.
-        for keeper in self._ranked(organisation, session)[:LOOKED_AT]:
-            pin = await self._ask(keeper, question)
+        for holder in self._ranked(organisation, session)[:MAX_QUERIED]:
+            pin = await self._query(holder, query)
             if pin is not None:
                 return pin
         return None
@@ -82,11 +82,11 @@
         :returns: what it is bound to.
         """
         token = self.sealer.seal(pin)
-        question = AskPin(pin.organisation, pin.session, token)
-        for keeper in self._keepers(pin.organisation, pin.session):
-            standing = await self._ask(keeper, question)
-            if standing is not None:
-                return standing
+        query = AskPin(pin.organisation, pin.session, token)
+        for holder in self._holders(pin.organisation, pin.session):
+            existing = await self._query(holder, query)
+            if existing is not None:
+                return existing
         return pin
 
     def update(self, pin: Pin) -> None:
@@ -95,60 +95,60 @@
         :param pin: the pin as it is now.
         """
         message = CopyPin(pin.organisation, pin.session, self.sealer.seal(pin))
-        for keeper in self._keepers(pin.organisation, pin.session):
-            if keeper == self.context.vm:
+        for holder in self._holders(pin.organisation, pin.session):
+            if holder == self.context.vm:
                 self._keep(message.organisation, message.session, message.token)
             else:
-                self.members.send(keeper, message)
+                self.members.send(holder, message)
 
-    def _keepers(self, organisation: str, session: str) -> list[str]:
-        return self._ranked(organisation, session)[:KEEPERS]
+    def _holders(self, organisation: str, session: str) -> list[str]:
+        return self._ranked(organisation, session)[:PIN_REPLICAS]
 
     def _ranked(self, organisation: str, session: str) -> list[str]:
         alive = self.members.table.alive(monotonic())
         names = [self.context.vm, *(member.news.vm for member in alive)]
         return rendezvous(f"pin/{organisation}/{session}", names)
 
-    async def _ask(self, keeper: str, question: AskPin) -> Pin | None:
-        if keeper == self.context.vm:
-            return self._open(question, self._answer(question))
+    async def _query(self, holder: str, query: AskPin) -> Pin | None:
+        if holder == self.context.vm:
+            return self._open(query, self._get_or_store(query))
         try:
-            answer = await self.members.call(keeper, question, ASK_SECONDS)
+            answer = await self.members.call(holder, query, QUERY_SECONDS)
         except PeerError as error:
             log.debug("a keeper of pins does not answer: {}", error)
             return None
         assert isinstance(answer, PinIs)
-        return self._open(question, answer.token)
+        return self._open(query, answer.token)
 
-    def _open(self, question: AskPin, token: str) -> Pin | None:
+    def _open(self, query: AskPin, token: str) -> Pin | None:
         if not token:
             return None
         try:
-            return self.sealer.open(token, question.organisation)
+            return self.sealer.open(token, query.organisation)
         except TokenError:
             return None
 
-    def on_ask(self, envelope: Envelope) -> PinIs:
+    def on_query(self, envelope: Envelope) -> PinIs:
         """:param envelope: a peer's question.
 
         :returns: the token that is kept here.
         """
         assert isinstance(envelope.body, AskPin)
-        return PinIs(self._answer(envelope.body))
+        return PinIs(self._get_or_store(envelope.body))
 
-    def _answer(self, question: AskPin) -> str:
-        key = (question.organisation, question.session)
-        standing = self.tokens.get(key, "")
-        if standing:
+    def _get_or_store(self, query: AskPin) -> str:
+        key = (query.organisation, query.session)
+        existing = self.tokens.get(key, "")
+        if existing:
             self.tokens.move_to_end(key)
-            return standing
-        if question.token:
-            self._keep(*key, question.token)
-            copy = CopyPin(question.organisation, question.session, question.token)
-            for keeper in self._keepers(*key):
-                if keeper != self.context.vm:
-                    self.members.send(keeper, copy)
-        return question.token
+            return existing
+        if query.token:
+            self._keep(*key, query.token)
+            copy = CopyPin(query.organisation, query.session, query.token)
+            for holder in self._holders(*key):
+                if holder != self.context.vm:
+                    self.members.send(holder, copy)
+        return query.token
 
     def on_copy(self, envelope: Envelope) -> None:
         """:param envelope: a pin to keep."""
--- a/walnutquay/coordination/own/planning.py
+++ b/walnutquay/coordination/own/planning.py
@@ -42,7 +42,7 @@
         self.sealer = sealer
         self.pins = pins
 
-    def doubts(self) -> Doubts:
+    def local_restrictions(self) -> Doubts:
         """:returns: what this VM holds against versions by itself."""
         age = self.parts.configurations.confirmed_age()
         return Doubts(age, self.parts.health.table.braked)
@@ -54,26 +54,26 @@
         :returns: it with its plan and its session's binding, or why it cannot run.
         """
         try:
-            pin, bare = await self._pin(arrival)
+            pin, tokenless = await self._pin(arrival)
         except TokenError as error:
             return Error(Refusal(RefusalCode.BAD_TOKEN, error.reason))
         planned = self._plan_for(arrival, pin)
         if planned.is_error():
             return Error(planned.error)
-        if bare and not pin.versions:
+        if tokenless and not pin.versions:
             # The session's first turn: agree on its binding before it runs.
             first = planned.ok.steps[0]
             revision = self.parts.configurations.current.revision
-            wanted = pin.after(first.model, first.name, "", revision)
-            standing = await self.pins.propose(wanted)
-            if standing != wanted:
-                pin = standing
+            proposed = pin.after(first.model, first.name, "", revision)
+            existing = await self.pins.propose(proposed)
+            if existing != proposed:
+                pin = existing
                 planned = self._plan_for(arrival, pin)
                 if planned.is_error():
                     return Error(planned.error)
         if planned.ok.session_restarted:
             pin = Pin(pin.session, pin.organisation)
-        return Ok(ChatTurn(arrival, pin, bare, planned.ok))
+        return Ok(ChatTurn(arrival, pin, tokenless, planned.ok))
 
     async def _pin(self, arrival: ChatArrival) -> tuple[Pin, bool]:
         """Find what the session is bound to, and whether it is a bare one."""
@@ -97,7 +97,7 @@
             return Error(
                 Refusal(RefusalCode.NOT_ALLOWED, "the organisation is no more")
             )
-        question = Question(
+        routing_request = Question(
             organisation,
             arrival.call.model,
             arrival.request_class,
@@ -107,11 +107,14 @@
             pin if pin.versions else None,
         )
         planned = plan(
-            current, self.parts.configurations.programs, question, self.doubts()
+            current,
+            self.parts.configurations.programs,
+            routing_request,
+            self.local_restrictions(),
         )
-        return planned.map(lambda found: self._begin(found, arrival, pin))
+        return planned.map(lambda found: self._skip_steps(found, arrival, pin))
 
-    def _begin(self, found: Plan, arrival: ChatArrival, pin: Pin) -> Plan:
+    def _skip_steps(self, found: Plan, arrival: ChatArrival, pin: Pin) -> Plan:
         """Choose the step to begin with.
 
         A session begins with the first step that has served it, so that what is
--- a/walnutquay/coordination/own/quality.py
+++ b/walnutquay/coordination/own/quality.py
@@ -44,7 +44,7 @@
         self.health = health
         self.learner = StepLearner(context.rng)
         self.sampling = Tasks()
-        tallies.listeners.append(self.on_tally)
+        tallies.listeners.append(self.on_outcome_counts)
 
     def steps(
         self,
@@ -76,7 +76,7 @@
             self.context.metrics.count("cascade_steps_skipped", first)
         return steps[first:]
 
-    def took(self, turn: ChatTurn, usage: chat.Usage) -> None:
+    def record_usage(self, turn: ChatTurn, usage: chat.Usage) -> None:
         """:param turn: a request that was answered.
 
         :param usage: the tokens it took.
@@ -85,7 +85,7 @@
             turn.arrival.request_class, usage.input_tokens, usage.output_tokens
         )
 
-    async def reaches(self, turn: ChatTurn, answer: bytes) -> bool:
+    async def reaches_quality(self, turn: ChatTurn, answer: bytes) -> bool:
         """Have an answer rated, and learn from it.
 
         :param turn: the request.
@@ -104,7 +104,7 @@
             detail=f"{rating:.2f}",
         )
         reached = rating >= turn.plan.quality
-        self.health.note_rating(turn.target, reached)
+        self.health.record_rating(turn.target, reached)
         parts = (RATED, turn.plan.cascade, turn.arrival.request_class, turn.target)
         self.tallies.add(SEPARATOR.join(parts), reached)
         return reached
@@ -115,10 +115,10 @@
         :param turn: the request, as it stands now.
         :param answer: a chat completion, as JSON.
         """
-        if self.wants_sample(turn):
-            self.rate_later(turn, answer)
+        if self.should_sample(turn):
+            self.rate_in_background(turn, answer)
 
-    def wants_sample(self, turn: ChatTurn) -> bool:
+    def should_sample(self, turn: ChatTurn) -> bool:
         """:param turn: a request whose answer nobody waits to have rated.
 
         :returns: whether it is to be rated all the same.
@@ -132,7 +132,7 @@
             share = max(share, OLD_SAMPLE)
         return self.context.rng.random() < share
 
-    def rate_later(self, turn: ChatTurn, answer: bytes) -> None:
+    def rate_in_background(self, turn: ChatTurn, answer: bytes) -> None:
         """Have an answer rated in the background.
 
         :param turn: the request, as it stands now.
@@ -141,9 +141,9 @@
         if len(self.sampling.running) >= MAX_SAMPLING:
             self.context.metrics.count("ratings_left_out")
             return
-        self.sampling.spawn(self.reaches(turn.snapshot(), answer))
+        self.sampling.spawn(self.reaches_quality(turn.snapshot(), answer))
 
-    def on_tally(self, subject: str, good: int, bad: int) -> None:
+    def on_outcome_counts(self, subject: str, good: int, bad: int) -> None:
         """Learn from ratings, of this VM or of others.
 
         :param subject: what was counted.
--- a/walnutquay/coordination/own/turns.py
+++ b/walnutquay/coordination/own/turns.py
@@ -25,7 +25,7 @@
 
     :param arrival: the request.
     :param pin: the session's binding.
-    :param bare: whether the caller sent a session id and no token.
+    :param tokenless: whether the caller sent a session id and no token.
     :param plan: the versions to try.
     :param step: the index of the version that is tried now.
     :param lines: what its steps cost.
@@ -34,7 +34,7 @@
 
     arrival: ChatArrival
     pin: Pin
-    bare: bool
+    tokenless: bool
     plan: Plan
     step: int = 0
     lines: list[CostLine] = field(default_factory=list)
@@ -126,7 +126,7 @@
         return self.arrival.method in methods and not self.arrival.key
 
 
-class PassedStream:
+class ForwardedStream:
     """What of a stream has been passed on to the caller."""
 
     def __init__(self) -> None:
@@ -139,24 +139,24 @@
         # Whether it is to be rated once it is whole.
         self.sampled = False
         # Whether the events are kept, for repeats or to have them rated.
-        self.keep = False
+        self.keep_events = False
         # Seconds that went by in passing events on, not in waiting for them.
-        self.passing_seconds = 0.0
-        self.told = chat.NO_USAGE
+        self.forwarding_seconds = 0.0
+        self.reported_usage = chat.NO_USAGE
 
     def take(self, event: bytes) -> None:
         """:param event: an event that is passed on."""
-        if self.keep:
+        if self.keep_events:
             self.events.append(event)
         if event == chat.END_MARK:
             return
         self.chunks += 1
         # Only the last event tells the usage; the test spares the parsing.
         if b'"usage"' in event:
-            self.told = chat.usage_of(chat.event_json(event) or {})
+            self.reported_usage = chat.usage_of(chat.event_json(event) or {})
 
     def usage(self) -> chat.Usage:
         """:returns: the engine's count, or that of the events passed on."""
-        if self.told != chat.NO_USAGE:
-            return self.told
+        if self.reported_usage != chat.NO_USAGE:
+            return self.reported_usage
         return chat.Usage(0, self.chunks)
