--- a/walnutquay/coordination/own/__init__.py
+++ b/walnutquay/coordination/own/__init__.py
@@ -1,7 +1,7 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Our own interface: chats and services, keys, bills, pins, and the fleet behind them.
+"""The own interface: chats, services, idempotency keys, bills and pins, and its fleet.
 
-It owns its configuration, claims, bills and membership; it hears from the platform and
-the other VMs, and tells them.
+It manages its configuration, claims, bills and membership.  It receives messages from
+the platform and the other VMs, and sends messages to them.
 """
--- a/walnutquay/coordination/own/admission.py
+++ b/walnutquay/coordination/own/admission.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Admission: a request waits here until an endpoint has a place for it."""
+"""Admission of requests, which wait until an endpoint has a slot."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
 
 @dataclass(slots=True)
 class _Waiter:
-    """A request that waits, and the future that its place comes by."""
+    """A waiting request, and the future that receives its slot or refusal."""
 
     need: SlotRequest
     future: asyncio.Future[Result[Grant, Refusal]]
 
 
 class Admission:
-    """Gives out places at endpoints, in fair shares.
+    """Allocates slots at endpoints, in fair shares between organisations.
 
-    :param context: what this process shares.
-    :param configurations: pools, endpoints and what they run.
-    :param table: what is known of endpoints.
+    :param context: the state shared by this process.
+    :param configurations: the pools, the endpoints and the versions they run.
+    :param table: the state of endpoints.
     """
 
     def __init__(
@@ -50,14 +50,18 @@
         self.table = table
         self.queues: dict[str, PoolQueue] = {}
         self.waiters: dict[RequestId, _Waiter] = {}
-        # The endpoints that this VM uses, by version or service.
+        # The subset of endpoints that this VM uses, by version or service.
         self.subsets: dict[str, list[Endpoint]] = {}
         configurations.listeners.append(self.on_configuration)
 
     def endpoints_for(self, need: SlotRequest) -> list[Endpoint]:
-        """:param need: a request.
+        """Return the endpoints that this VM uses for a request.
 
-        :returns: the endpoints that this VM uses for it, where it may run.
+        If none of the subset is in a region where the request may run, all endpoints
+        in these regions are returned.
+
+        :param need: the properties of the request.
+        :returns: endpoints in regions where the request may run.
         """
         region_of = self.configurations.current.regions
         permitted = filter_by_region(
@@ -70,10 +74,10 @@
         )
 
     def endpoints_of(self, target: str) -> list[Endpoint]:
-        """Give the endpoints that this VM uses for a version or service.
+        """Return the endpoints that this VM uses for a version or service.
 
         :param target: the version or service.
-        :returns: its subset; all that there are where none of it is left.
+        :returns: the subset, or all endpoints if none of the subset is usable.
         """
         all_endpoints = self._all_endpoints_of(target)
         chosen = self.subsets.get(target)
@@ -90,17 +94,17 @@
         return [item for item in found if item.hall not in current.emptied_halls]
 
     def endpoints_in_use(self) -> list[Endpoint]:
-        """:returns: the endpoints that this VM uses for anything."""
+        """Return the endpoints that this VM uses for any version or service."""
         current = self.configurations.current
         targets = [*current.endpoints_of_version, *current.endpoints_of_service]
         found = {e.name: e for t in targets for e in self.endpoints_of(t)}
         return list(found.values())
 
     async def acquire(self, need: SlotRequest) -> Result[Grant, Refusal]:
-        """Get a place, at once or after a wait.
+        """Acquire a slot, waiting in the queue of the pool if none is free.
 
-        :param need: what for.
-        :returns: the place, or why there is none.
+        :param need: the properties of the request.
+        :returns: the slot, or why there is none.
         """
         endpoints = self.endpoints_for(need)
         refusal = self._unusable(need, endpoints)
@@ -115,9 +119,9 @@
         return await self._wait(queue, need, endpoints, now)
 
     def release(self, grant: Grant) -> None:
-        """Give a place back.
+        """Release a slot.
 
-        :param grant: the place.
+        :param grant: the slot.
         """
         facts = self.table.state_of(grant.name)
         facts.in_flight -= 1
@@ -127,18 +131,18 @@
         self.wake(grant.endpoint.pool)
 
     def full(self, grant: Grant) -> None:
-        """Note that an endpoint refused work for want of room.
+        """Record that an endpoint refused a request for lack of capacity.
 
-        :param grant: the place that was none.
+        :param grant: the slot for which the endpoint had no capacity.
         """
         self.table.full(grant.name, monotonic())
         loop = asyncio.get_running_loop()
         loop.call_later(FULL_SECONDS, self.wake, grant.endpoint.pool)
 
     def wake(self, pool: str) -> None:
-        """Give places to whoever waits and can have one.
+        """Grant slots to the waiting requests of a pool while any are free.
 
-        :param pool: the pool in which something has changed.
+        :param pool: the pool in which capacity may have become free.
         """
         queue = self.queues.get(pool)
         while queue is not None and queue.length:
@@ -153,9 +157,9 @@
             waiter.future.set_result(Ok(self._grant(endpoint, now)))
 
     def on_configuration(self, configuration: Configuration) -> None:
-        """Refuse what can no longer be served, and serve what now can.
+        """Refuse waiting requests that can no longer be served, and wake the others.
 
-        :param configuration: what came into force.
+        :param configuration: the configuration that came into force.
         """
         self.subsets.clear()
         for request, waiter in list(self.waiters.items()):
@@ -188,7 +192,8 @@
         self, endpoints: list[Endpoint], now: float, need: SlotRequest
     ) -> Endpoint | None:
         if need.suspect:
-            # All tries of it meet at one endpoint, away from what broke beside it.
+            # All attempts of a suspect go to the same endpoint, away from the
+            # requests that were interrupted beside it.
             return self.table.choose(endpoints, now, "", need.tried, need.suspect)
         return self.table.choose(endpoints, now, need.hint, need.tried, need.prefix)
 
@@ -206,7 +211,7 @@
         return Grant(endpoint, now, queue.pool.work)
 
     def _has_room(self, now: float) -> Callable[[Waiting], bool]:
-        """Make the test whether a request that waits can have a place now."""
+        """Return a predicate: whether a waiting request can have a slot now."""
         has_room_by_key: dict[tuple[str, frozenset[str], object], bool] = {}
 
         def has_room(waiting: Waiting) -> bool:
@@ -243,7 +248,7 @@
         self.context.timeline.emit(EventKind.QUEUED, request=need.request)
         waiter = _Waiter(need, asyncio.get_running_loop().create_future())
         self.waiters[need.request] = waiter
-        # Something may have become free between the choice and the queue.
+        # A slot may have become free between the choice and entering the queue.
         self.wake(queue.pool.name)
         try:
             async with asyncio.timeout(until - now):
@@ -275,7 +280,7 @@
         )
 
     def _on_cancelled(self, queue: PoolQueue, waiter: _Waiter) -> None:
-        """The caller has gone: give back the place, or leave the queue."""
+        """Release the slot of a caller that has disconnected, or leave the queue."""
         if not waiter.future.done():
             self._leave_queue(queue, waiter)
             return
--- a/walnutquay/coordination/own/chats.py
+++ b/walnutquay/coordination/own/chats.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The path of chat requests: plan, place, dispatch, rating, bill, answer."""
+"""The path of chat requests: plan, slot, dispatch, rating, bill, answer."""
 
 from __future__ import annotations
 
@@ -43,11 +43,11 @@
 class ChatPath(KeyedPath):
     """Serves chat requests.
 
-    :param parts: what it works with.
+    :param parts: the shared components.
     :param engines: the adapter to engines.
-    :param quality: has answers rated, and learns from it.
-    :param planner: says what each request is to run on.
-    :param idle: seconds that an engine may be silent.
+    :param quality: rates answers and learns from the ratings.
+    :param planner: plans the versions to try for each request.
+    :param idle: the maximum time that an engine may be silent; seconds.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         self.idle = idle
 
     async def run(self, arrival: ChatArrival, stage: Received) -> Outcome:
-        """Serve a chat request that may be run.
+        """Plan and serve a chat request that has been accepted.
 
         :param arrival: the request.
         :param stage: its stage.
@@ -84,12 +84,13 @@
         self.parts.retries.first_try()
         return await self.attempts(turn, stage)
 
-    # Steps.
+    # Steps of the plan.
 
     def no_longer_allowed(self, turn: ChatTurn) -> Refusal | None:
-        """:param turn: the request.
+        """Check whether the current version may still run a request.
 
-        :returns: why the present version may not run now, or None.
+        :param turn: the request.
+        :returns: why the version may not run it now, or None.
         """
         return allowed(
             self.parts.configurations.current,
@@ -100,12 +101,13 @@
         )
 
     def retarget(self, turn: ChatTurn, refusal: Refusal) -> bool:
-        """Go on to the next version where the present one cannot be had.
+        """Continue with the next version if the current one is unavailable.
 
-        A session that is bound to the present version waits for it instead.
+        A session that is bound to the current version waits for it instead.
 
         :param turn: the request.
-        :param refusal: why the version cannot be had.
+        :param refusal: why the version is unavailable.
+        :returns: whether the request continues with the next version.
         """
         if turn.last_step or turn.bound:
             return False
@@ -121,7 +123,7 @@
 
         :param turn: the request.
         :param stage: its stage.
-        :param refusal: why the present step has no place.
+        :param refusal: why there is no slot for the current step.
         """
         if turn.best is None or isinstance(stage, Received):
             return await super().no_slot(turn, stage, refusal)
@@ -135,7 +137,7 @@
 
         :param turn: the request.
         :param running: its stage.
-        :param error: how the present step failed.
+        :param error: how the current step failed.
         """
         if turn.best is None:
             return await super().abandon(turn, running, error)
@@ -145,11 +147,11 @@
     async def exchange(
         self, turn: ChatTurn, running: Dispatched, grant: Grant
     ) -> Outcome | Continuing:
-        """Talk to an engine.
+        """Exchange a chat request and its answer with an engine.
 
         :param turn: the request.
         :param running: its stage.
-        :param grant: the engine.
+        :param grant: the slot at the engine.
         """
         call = self._engine_call(turn, running, grant)
         started = monotonic()
@@ -160,10 +162,10 @@
         return await self._answered(turn, running, grant, answer)
 
     def count_failure(self, turn: ChatTurn, grant: Grant, error: EndpointError) -> None:
-        """Learn from a failure of an engine, and of the version there.
+        """Count a failure against an engine and the version that ran there.
 
         :param turn: the request.
-        :param grant: the engine.
+        :param grant: the slot at the engine.
         :param error: how it failed.
         """
         super().count_failure(turn, grant, error)
@@ -191,12 +193,12 @@
             turn.target, True, turn.arrival.request_class, seconds
         )
 
-    # Whole answers.
+    # Complete answers.
 
     async def _answered(
         self, turn: ChatTurn, running: Dispatched, grant: Grant, answer: EngineAnswer
     ) -> Outcome | Continuing:
-        """Take a step's answer, or go on to the next step."""
+        """Accept the answer of a step, or continue with the next step."""
         if answer.status == 200:
             turn.lines.append(turn.cost(grant.name, answer.usage))
             self.quality.record_usage(turn, answer.usage)
@@ -214,7 +216,10 @@
         return await self._finish(turn, whole)
 
     async def _below_quality(self, turn: ChatTurn, answer: EngineAnswer) -> bool:
-        """Have an answer rated, where another step could better it."""
+        """Return whether an answer is rated too low and another step remains.
+
+        The answer of the last step is only rated as a sample, in the background.
+        """
         if answer.status != 200 or not turn.plan.quality:
             return False
         if turn.last_step:
@@ -233,7 +238,7 @@
             )
 
     def _headers(self, turn: ChatTurn, grant: Grant) -> dict[str, str]:
-        """Say who serves the request, and give the session's new token."""
+        """Return the headers that name the endpoint and carry the new session token."""
         current = self.parts.configurations.current
         pin = turn.pin.after(
             turn.version.model, turn.version.name, grant.name, current.revision
@@ -255,7 +260,7 @@
     async def _stream(
         self, turn: ChatTurn, running: Dispatched, grant: Grant, call: EngineCall
     ) -> Outcome | Continuing:
-        """Pass a stream on; its end mark goes out once the bill is safe."""
+        """Forward a stream; its end mark is sent once the bill is safely recorded."""
         reply = turn.arrival.reply
         assert reply is not None
         forwarded = ForwardedStream()
@@ -271,7 +276,7 @@
                 raise
             return await self._on_broken_stream(turn, running, grant, reply, error)
         except asyncio.CancelledError:
-            # The caller has gone: what it was given is billed all the same.
+            # The caller has disconnected; the events it was sent are still billed.
             if forwarded.begun and not forwarded.billed:
                 turn.lines.append(turn.cost(grant.name, forwarded.usage()))
                 self.background.spawn(self._bill(turn))
@@ -284,7 +289,11 @@
         return Streamed(whole=True)
 
     def _record_stream(self, turn: ChatTurn, forwarded: ForwardedStream) -> None:
-        """Learn from a whole stream, and keep it for repeats of its key."""
+        """Record the usage of a complete stream; rate it, or store it for repeats.
+
+        Sampled answers are rated in the background.  A stream whose request has an
+        idempotency key is stored for repeats of the key.
+        """
         self.quality.record_usage(turn, forwarded.usage())
         if forwarded.sampled:
             self.quality.rate_in_background(turn, chat.whole_of(forwarded.events))
@@ -315,7 +324,7 @@
             write_started = monotonic()
             if event == chat.END_MARK:
                 turn.lines.append(turn.cost(grant.name, forwarded.usage()))
-                # A caller who goes away from here on must not be billed again.
+                # A caller that disconnects after this point must not be billed again.
                 forwarded.billed = True
                 await self._bill(turn)
             await reply.write(event)
@@ -329,7 +338,7 @@
         reply: Reply,
         error: EndpointError,
     ) -> Streamed:
-        """Say in the stream that it is not whole."""
+        """End a broken stream with an error event that says it is incomplete."""
         await self.note_failure(turn, grant, error)
         running.unknown()
         message = f"the answer broke off: {error.reason}"
--- a/walnutquay/coordination/own/endpoints.py
+++ b/walnutquay/coordination/own/endpoints.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""News of endpoints: their load reports, and who of them is leaving."""
+"""Monitoring of endpoints: their load reports, and which of them are leaving."""
 
 from __future__ import annotations
 
@@ -31,18 +31,19 @@
 
 REPORT_PERIOD = 1.0
 REPORT_TIMEOUT = 0.8
-# Endpoints that one VM asks each time; the work it sends itself it knows.
+# The maximum number of endpoints that one VM queries at a time.  It counts the requests
+# that it sends itself without reports.
 MAX_REPORTERS = 16
 
 
 class EndpointMonitor:
-    """Feeds the endpoint table from reports, the VM list and peers.
+    """Updates the endpoint table from load reports, the VM list and peers.
 
-    :param context: what this process shares.
+    :param context: the state shared by this process.
     :param table: the table.
-    :param configurations: which endpoints there are.
+    :param configurations: the configuration, with the list of endpoints.
     :param members: the other VMs.
-    :param dispatcher: where peers' news come from.
+    :param dispatcher: the dispatcher of messages from peers.
     """
 
     def __init__(
@@ -54,7 +55,7 @@
         dispatcher: Dispatcher,
     ) -> None:
         self.context = context
-        # Gives the endpoints that this VM uses; set once admission is made.
+        # Returns the endpoints that this VM uses; set once the admission exists.
         self.endpoints_in_use: Callable[[], list[Endpoint]] = list
         self.table = table
         self.configurations = configurations
@@ -69,21 +70,27 @@
         dispatcher.on(EndpointLeaving, self.on_peer)
 
     def start(self) -> None:
-        """Begin to ask for reports."""
+        """Start the periodic requests for load reports."""
         self.context.timers.every("load-reports", REPORT_PERIOD, self.request_reports)
 
     async def close(self) -> None:
-        """Close the connections for reports."""
+        """Close the connections used for load reports."""
         await self.session.close()
 
     def on_configuration(self, configuration: Configuration) -> None:
-        """:param configuration: what came into force."""
+        """Remove endpoints that are no longer configured.
+
+        :param configuration: the configuration that came into force.
+        """
         self.table.forget_except(configuration.endpoints)
         for name in set(self.loaded) - set(configuration.endpoints):
             del self.loaded[name]
 
     async def request_reports(self) -> None:
-        """Ask the endpoints that this VM uses for their load."""
+        """Request load reports from the endpoints that this VM uses.
+
+        If there are more than ``MAX_REPORTERS``, a random sample is queried.
+        """
         endpoints = self.endpoints_in_use()
         if len(endpoints) > MAX_REPORTERS:
             endpoints = self.context.rng.sample(endpoints, MAX_REPORTERS)
@@ -96,7 +103,7 @@
         try:
             report = await get_json(self.session, url, REPORT_TIMEOUT)
         except EndpointError as error:
-            log.debug("no report from {}: {}", endpoint.name, error)
+            log.debug("load report from {} failed: {}", endpoint.name, error)
             return
         assert isinstance(report, dict)
         name = EndpointName(endpoint.name)
@@ -109,7 +116,10 @@
             self.record_leaving(name, LeavingSource.ENDPOINT, incarnation)
 
     def on_vm_list(self, listed: list[ListedEndpoint]) -> None:
-        """:param listed: endpoints as the platform's list has them."""
+        """Record the endpoints that are leaving according to the platform's VM list.
+
+        :param listed: the endpoints in the list.
+        """
         for entry in listed:
             if entry.leaving:
                 self.record_leaving(
@@ -117,7 +127,10 @@
                 )
 
     def on_peer(self, envelope: Envelope) -> None:
-        """:param envelope: a peer's news."""
+        """Record that an endpoint is leaving, as sent by a peer.
+
+        :param envelope: the peer's message.
+        """
         body = envelope.body
         assert isinstance(body, EndpointLeaving)
         name = EndpointName(body.endpoint)
@@ -126,11 +139,13 @@
     def record_leaving(
         self, name: EndpointName, source: LeavingSource, incarnation: str = ""
     ) -> None:
-        """Note that an endpoint is leaving, and tell the others if it is news.
+        """Record that an endpoint is leaving, and broadcast it if it was not yet known.
+
+        What a peer has sent is not broadcast again.
 
         :param name: the endpoint.
-        :param source: who says so.
-        :param incarnation: which incarnation of it is leaving.
+        :param source: the source of the information.
+        :param incarnation: the incarnation that is leaving; empty if not stated.
         """
         if not self.table.mark_leaving(name, source, incarnation):
             return
--- a/walnutquay/coordination/own/engines.py
+++ b/walnutquay/coordination/own/engines.py
@@ -1,9 +1,9 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The adapter to model engines: whole answers, streams and their resumption.
+"""The adapter to model engines: complete answers, streams and their resumption.
 
-Each dispatch has an id of its own that the engine repeats in its answer; an
-answer under another id is somebody else's and is never passed on.
+Each dispatch has an id of its own that the engine returns in its answer.  An answer
+with another id belongs to another request and is never forwarded.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 HEADER_REQUEST_ID = "x-request-id"
 HEADER_PRIORITY = "x-priority"
 CHAT_PATH = "/v1/chat/completions"
-# Tries to take up a stream or answer that broke, at the same engine.
+# The number of attempts to resume an interrupted stream, at the same engine.
 RESUME_TRIES = 2
 
 
@@ -36,7 +36,7 @@
     :param body: the chat body, with the version as ``model``.
     :param priority: ``patient`` or ``quick``.
     :param deadline: when the answer is due; monotonic seconds.
-    :param idle: seconds that the engine may be silent.
+    :param idle: the maximum time that the engine may be silent; seconds.
     """
 
     dispatch: str
@@ -47,7 +47,7 @@
     idle: float
 
     def headers(self) -> dict[str, str]:
-        """:returns: the headers to send."""
+        """Return the request headers."""
         return {
             "content-type": chat.JSON_TYPE,
             HEADER_REQUEST_ID: self.dispatch,
@@ -55,17 +55,17 @@
         }
 
     def remaining_seconds(self) -> float:
-        """:returns: seconds until the deadline, and a little at the least."""
+        """Return the seconds until the deadline, but at least a small positive time."""
         return max(0.05, self.deadline - monotonic())
 
 
 @dataclass(frozen=True, slots=True)
 class EngineAnswer:
-    """A whole answer of an engine.
+    """A complete answer of an engine.
 
-    :param status: HTTP status: 200, or 4xx where the engine refuses the body.
-    :param body: its bytes.
-    :param usage: the tokens it took.
+    :param status: HTTP status: 200, or 4xx if the engine refuses the body.
+    :param body: the body of the answer.
+    :param usage: the tokens used.
     """
 
     status: int
@@ -74,10 +74,10 @@
 
 
 class EngineRefusalError(EndpointError):
-    """The engine does not take the body; the caller is told its words.
+    """The engine refused the request body; its error is returned to the caller.
 
     :param status: HTTP status, 4xx.
-    :param body: the engine's error.
+    :param body: the body of the engine's error.
     :param call: the dispatch.
     """
 
@@ -91,20 +91,23 @@
 
 
 class Engines:
-    """Talks to engines.
+    """Sends requests to engines and reads their answers.
 
-    :param client: the connections.
+    :param client: the HTTP client.
     """
 
     def __init__(self, client: HttpClient) -> None:
         self.client = client
 
     async def fetch_answer(self, call: EngineCall) -> EngineAnswer:
-        """Get a whole answer; one that broke on the way is fetched again.
+        """Send a request and return the complete answer.
+
+        If the answer is interrupted, it is fetched again, once.
 
         :param call: the dispatch.
-        :raises NotStartedError: if the engine cannot have begun.
-        :raises EndpointError: if it may have, and the answer is not to be had.
+        :raises NotStartedError: if the engine cannot have started the request.
+        :raises EndpointError: if the engine may have started the request, and the
+            answer could not be fetched.
         """
         try:
             return await self._post(call)
@@ -130,7 +133,7 @@
             return _parse_answer(call, answer.status, await answer.read())
 
     async def _fetch_again(self, call: EngineCall) -> EngineAnswer | None:
-        """Ask the engine for the answer to a dispatch that it may have kept."""
+        """Fetch the answer to a dispatch again, as the engine may have kept it."""
         url = f"{call.endpoint.address}/v1/requests/{call.dispatch}"
         try:
             async with self.client.request(
@@ -160,17 +163,19 @@
             )
 
     async def events(self, call: EngineCall) -> AsyncIterator[bytes]:
-        """Stream an answer, event by event, the end mark last.
+        """Stream an answer, event by event, up to and including the end mark.
 
-        A stream that breaks is taken up where it broke, where the engine can,
-        so that its bytes are those of an unbroken one.
+        An interrupted stream is resumed where it was interrupted if the engine can
+        resume it, so that its bytes are those of an uninterrupted stream.
 
         :param call: the dispatch.
-        :raises NotStartedError: if the engine cannot have begun.
-        :raises EndpointError: if the stream ends before its end mark.
+        :raises NotStartedError: if the engine cannot have started the request.
+        :raises EngineRefusalError: if the engine refuses the body.
+        :raises EndpointError: if the stream ends before its end mark and could not be
+            resumed.
         """
         forwarded = 0
-        # How it broke first: that an engine cannot take it up again is no cause.
+        # The first error is the one raised: a failed resumption is not the cause.
         first_error: EndpointError | None = None
         url = call.endpoint.address + CHAT_PATH
         for attempt in range(RESUME_TRIES + 1):
@@ -194,7 +199,7 @@
             except NotStartedError as error:
                 if first_error is None:
                     raise
-                # It began at an earlier attempt, whatever it says of this one.
+                # An earlier attempt was started, even if this one was not.
                 raise first_error from error
             except EngineRefusalError:
                 raise
@@ -225,7 +230,12 @@
 
 
 def _parse_answer(call: EngineCall, status: int, body: bytes) -> EngineAnswer:
-    """Check that an answer is whole: parsed JSON with an end to each choice."""
+    """Return the answer after checking that it is complete.
+
+    A complete answer is valid JSON in which each choice has a finish reason.
+
+    :raises EndpointError: if it is incomplete.
+    """
     if status != 200:
         return EngineAnswer(status, body)
     try:
--- a/walnutquay/coordination/own/health.py
+++ b/walnutquay/coordination/own/health.py
@@ -1,6 +1,9 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The brake: a VM holds a new version back by itself once its tests say so."""
+"""Circuit breakers of versions: a VM rejects a version on a bad verdict.
+
+Each VM does so by itself, without an order.
+"""
 
 from __future__ import annotations
 
@@ -18,19 +21,19 @@
 from walnutquay.state.requests.durations import DurationTable
 from walnutquay.transport.timers import monotonic
 
-# What the counts of a stage are called: this, the stage, the measure, the version.
+# The subject of a stage's outcome counts: this prefix, stage, measure and version.
 TRIAL = "trial"
 SEPARATOR = "|"
 
 
 class VersionHealth:
-    """Counts how versions in roll-out do, on all VMs, and brakes.
+    """Counts outcomes of versions in roll-out on all VMs, and rejects failing versions.
 
-    :param context: what this process shares.
-    :param configurations: which versions are being rolled out.
-    :param members: whom to tell of a brake.
-    :param dispatcher: where peers' brakes come from.
-    :param tallies: the counts of all VMs.
+    :param context: the state shared by this process.
+    :param configurations: the configuration, with the versions in roll-out.
+    :param members: the VMs to which a rejection is broadcast.
+    :param dispatcher: the dispatcher of messages from peers.
+    :param tallies: the outcome counts of all VMs.
     """
 
     def __init__(
@@ -46,14 +49,18 @@
         self.tallies = tallies
         self.table = BrakeTable()
         self.duration_table = DurationTable()
-        # The stage of each version in roll-out, and since when it is in force here.
+        # The stage of each version in roll-out, and when it came into force on this VM;
+        # monotonic seconds.
         self.stage_since: dict[str, tuple[str, float]] = {}
         configurations.listeners.append(self.on_configuration)
         dispatcher.on(VersionBrake, self.on_peer)
         tallies.listeners.append(self.on_outcome_counts)
 
     def on_configuration(self, configuration: Configuration) -> None:
-        """:param configuration: what came into force."""
+        """Set the stages to test, and remove the outcome counts of past stages.
+
+        :param configuration: the configuration that came into force.
+        """
         stages = {
             rollout.new: Stage(
                 f"{rollout.name}/{rollout.stage}/{rollout.state.value}", rollout.old
@@ -73,10 +80,11 @@
         self.tallies.board.forget(lambda subject: _is_over(subject, keys))
 
     def unchanged_for(self, version: str) -> float | None:
-        """:param version: a version.
+        """Return the time for which the stage of a version's roll-out is unchanged.
 
-        :returns: seconds for which its roll-out has stood where it stands, as far
-            as this VM has seen it; None where it is in none.
+        :param version: a version.
+        :returns: the seconds since this VM first saw the stage; None if the version is
+            not in a roll-out.
         """
         since = self.stage_since.get(version)
         return round(monotonic() - since[1], 1) if since is not None else None
@@ -84,12 +92,12 @@
     def record_outcome(
         self, version: str, good: bool, request_class: str = "", seconds: float = 0.0
     ) -> None:
-        """Count how a dispatch ended; brake where it is due.
+        """Record the outcome of a dispatch; reject the version on a bad verdict.
 
         :param version: the version that ran.
         :param good: whether it answered.
-        :param request_class: the caller's class of request.
-        :param seconds: how long it took; 0 where that says nothing.
+        :param request_class: the request class that the caller named.
+        :param seconds: the duration; 0 if it is not meaningful.
         """
         stages = self.table.stages_of(version)
         for stage in stages:
@@ -103,10 +111,10 @@
                 self._count(stage, Measure.SLOW, version, not slow)
 
     def record_rating(self, version: str, reached: bool) -> None:
-        """Count a rating.
+        """Record a rating.
 
         :param version: the version that answered.
-        :param reached: whether the answer had the quality that is asked for.
+        :param reached: whether the answer reached the required quality.
         """
         for stage in self.table.stages_of(version):
             self._count(stage, Measure.POOR, version, reached)
@@ -116,33 +124,36 @@
         self.tallies.add(subject, good)
 
     def on_outcome_counts(self, subject: str, good: int, bad: int) -> None:
-        """Take in outcomes that this VM or another one has counted.
+        """Apply outcomes counted by any VM; reject the version on a bad verdict.
 
-        :param subject: what was counted.
-        :param good: good outcomes.
-        :param bad: bad ones.
+        :param subject: the subject of the counts.
+        :param good: the number of good outcomes.
+        :param bad: the number of bad outcomes.
         """
         if not subject.startswith(TRIAL + SEPARATOR):
             return
         _, stage, measure, version = subject.split(SEPARATOR)
         if not self.table.take(stage, version, Measure(measure), good, bad):
             return
-        self._log_rejection(version, f"the test of {measure} outcomes says so")
+        self._log_rejection(version, f"bad verdict of the test of {measure} outcomes")
         self.members.tell_all(VersionBrake(version))
 
     def on_peer(self, envelope: Envelope) -> None:
-        """:param envelope: a peer's brake."""
+        """Reject a version that a peer has rejected.
+
+        :param envelope: the peer's message.
+        """
         assert isinstance(envelope.body, VersionBrake)
         version = envelope.body.version
         if self.table.brake(version):
-            self._log_rejection(version, f"{envelope.vm} says so")
+            self._log_rejection(version, f"rejected by {envelope.vm}")
 
     def _log_rejection(self, version: str, why: str) -> None:
         self.context.timeline.emit(EventKind.BRAKED, version=version, detail=why)
 
 
 def _is_over(subject: str, stages: set[str]) -> bool:
-    """Tell whether a subject belongs to a stage that is in force no more."""
+    """Return whether a subject belongs to a stage that is no longer in force."""
     if not subject.startswith(TRIAL + SEPARATOR):
         return False
     return subject.split(SEPARATOR)[1] not in stages
--- a/walnutquay/coordination/own/keyed.py
+++ b/walnutquay/coordination/own/keyed.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The path of requests to our own interface, which may carry idempotency keys."""
+"""The path of requests to the own interface, which may carry idempotency keys."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 
 @dataclass
 class KeyedParts(PathParts):
-    """The parts that requests to our own interface need besides.
+    """The further components that requests to the own interface need.
 
-    :param configurations: what is in force.
-    :param claims: claims of idempotency keys.
-    :param billing: bill records.
-    :param health: brakes on versions.
+    :param configurations: the configuration in force.
+    :param claims: the claims of idempotency keys.
+    :param billing: the bill records.
+    :param health: the circuit breakers of versions.
     """
 
     configurations: Configurations
@@ -43,20 +43,20 @@
 
 
 class KeyedPath(RequestPath):
-    """Claims a request's idempotency key before anything else is done for it.
+    """Claims the idempotency key of a request before the request is processed.
 
-    :param parts: what it works with.
+    :param parts: the shared components.
     """
 
     parts: KeyedParts
 
     def __init__(self, parts: KeyedParts) -> None:
         super().__init__(parts)
-        # Bills of callers who have gone are finished in the background.
+        # Background tasks that bill callers that have disconnected and release claims.
         self.background = Tasks()
 
     async def begin(self, arrival: Arrival) -> Outcome:
-        """Run a request, after its key has been claimed where it has one.
+        """Run a request, claiming its idempotency key first if it has one.
 
         :param arrival: the request.
         """
@@ -65,7 +65,7 @@
         return await super().begin(arrival)
 
     def unready(self) -> Refusal | None:
-        """:returns: why this VM knows too little to serve, or None."""
+        """Return why this VM lacks the state to serve requests, or None."""
         if self.parts.configurations.ready:
             return None
         return Refusal(
@@ -75,18 +75,20 @@
         )
 
     def on_dispatch(self, turn: Turn, grant: Grant) -> None:
-        """:param turn: a request that is sent now.
+        """Mark the claim of a request as running when the request is sent.
 
-        :param grant: the endpoint.
+        :param turn: the request.
+        :param grant: the slot at the endpoint.
         """
         if turn.arrival.key:
             self.parts.claims.running(turn.arrival.request)
 
     def on_not_started(self, turn: Turn, grant: Grant, error: NotStartedError) -> None:
-        """:param turn: a request that an endpoint did not begin.
+        """Mark the claim of a request as pending if the endpoint did not start it.
 
-        :param grant: the endpoint.
-        :param error: how that is known.
+        :param turn: the request.
+        :param grant: the slot at the endpoint.
+        :param error: the evidence that the request was not started.
         """
         if turn.arrival.key:
             self.parts.claims.pending(turn.arrival.request)
@@ -116,7 +118,7 @@
             outcome = await self.run(arrival, stage)
             return outcome
         finally:
-            # Also when the caller has gone, or something has failed here.
+            # This also runs if the caller has disconnected or an exception was raised.
             if isinstance(outcome, Whole):
                 claims.finish(arrival.request, RunState.ANSWERED, outcome.answer)
             elif progress.may_have_run:
@@ -138,7 +140,7 @@
         )
 
     def _answer_repeat(self, stage: Unclaimed, result: ClaimResult) -> Outcome:
-        """Answer a request whose key another one holds."""
+        """Answer a request whose idempotency key is claimed by another request."""
         if result.action is RepeatAction.GIVE_ANSWER and result.answer is not None:
             stage.repeated()
             return Whole(result.answer, replayed=True)
--- a/walnutquay/coordination/own/pins.py
+++ b/walnutquay/coordination/own/pins.py
@@ -1,10 +1,10 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Pins of sessions whose callers send a session id and return no token.
+"""Pins of sessions whose callers send a session id and no token.
 
-The VM that rendezvous names for the session keeps its pin, and the next one in
-rank a copy.  When both are lost at once, the session is bound anew; a caller
-who returns the token never depends on this.
+The VM that ranks first in rendezvous hashing of the session stores its pin, and the VM
+that ranks second stores a copy.  If both are lost at once, the session is bound again.
+Sessions of callers that send the token never depend on this.
 """
 
 from __future__ import annotations
@@ -27,20 +27,21 @@
 
 QUERY_SECONDS = 0.5
 PIN_REPLICAS = 2
-# VMs that are asked for a pin: its keepers, and who was one before a VM joined.
+# The number of VMs queried for a pin: its holders, and those that were holders before
+# other VMs joined.
 MAX_QUERIED = 4
 
 SessionKey = tuple[str, str]
 
 
 class SessionPins:
-    """Finds and keeps the pins of bare sessions.
+    """Stores the pins of sessions without tokens, and queries other VMs for them.
 
-    :param context: what this process shares.
+    :param context: the state shared by this process.
     :param members: the other VMs.
-    :param dispatcher: where peers' questions come from.
+    :param dispatcher: the dispatcher of messages from peers.
     :param sealer: signs pins, also between VMs.
-    :param size: pins to keep; the least used go first.
+    :param size: the number of pins to store; the least recently used are evicted first.
     """
 
     def __init__(
@@ -62,13 +63,13 @@
     async def find(self, organisation: str, session: str) -> Pin | None:
         """Find a session's pin.
 
-        :param organisation: whose session.
-        :param session: its id.
-        :returns: the pin, or None where nobody keeps one.
+        :param organisation: the organisation of the session.
+        :param session: the session's id.
+        :returns: the pin, or None if no VM queried has one.
         """
         query = AskPin(organisation, session, "")
-        # A VM that has just joined may be the first in rank and know nothing;
-        # those that were keepers before it come next.
+        # A VM that has just joined may rank first and have no pins.  The VMs that were
+        # holders before it joined rank next.
         for holder in self._ranked(organisation, session)[:MAX_QUERIED]:
             pin = await self._query(holder, query)
             if pin is not None:
@@ -76,10 +77,10 @@
         return None
 
     async def propose(self, pin: Pin) -> Pin:
-        """Bind a session, unless it is bound already.
+        """Bind a session, unless it is already bound.
 
-        :param pin: what it would be bound to.
-        :returns: what it is bound to.
+        :param pin: the proposed pin.
+        :returns: the pin in force: an existing one, or else the one proposed.
         """
         token = self.sealer.seal(pin)
         query = AskPin(pin.organisation, pin.session, token)
@@ -90,14 +91,14 @@
         return pin
 
     def update(self, pin: Pin) -> None:
-        """Tell the keepers of a pin after a turn.
+        """Send the updated pin to its holders after a turn.
 
-        :param pin: the pin as it is now.
+        :param pin: the updated pin.
         """
         message = CopyPin(pin.organisation, pin.session, self.sealer.seal(pin))
         for holder in self._holders(pin.organisation, pin.session):
             if holder == self.context.vm:
-                self._keep(message.organisation, message.session, message.token)
+                self._store(message.organisation, message.session, message.token)
             else:
                 self.members.send(holder, message)
 
@@ -115,7 +116,10 @@
         try:
             answer = await self.members.call(holder, query, QUERY_SECONDS)
         except PeerError as error:
-            log.debug("a keeper of pins does not answer: {}", error)
+            log.debug(
+                "query for a session pin failed; trying the next holder, if any: {}",
+                error,
+            )
             return None
         assert isinstance(answer, PinIs)
         return self._open(query, answer.token)
@@ -129,9 +133,10 @@
             return None
 
     def on_query(self, envelope: Envelope) -> PinIs:
-        """:param envelope: a peer's question.
+        """Answer a peer's query for a pin, storing its pin if there is none here.
 
-        :returns: the token that is kept here.
+        :param envelope: the peer's query.
+        :returns: the token stored on this VM; empty if there is none.
         """
         assert isinstance(envelope.body, AskPin)
         return PinIs(self._get_or_store(envelope.body))
@@ -143,7 +148,7 @@
             self.tokens.move_to_end(key)
             return existing
         if query.token:
-            self._keep(*key, query.token)
+            self._store(*key, query.token)
             copy = CopyPin(query.organisation, query.session, query.token)
             for holder in self._holders(*key):
                 if holder != self.context.vm:
@@ -151,12 +156,15 @@
         return query.token
 
     def on_copy(self, envelope: Envelope) -> None:
-        """:param envelope: a pin to keep."""
+        """Store the copy of a pin that a peer has sent.
+
+        :param envelope: the peer's message.
+        """
         body = envelope.body
         assert isinstance(body, CopyPin)
-        self._keep(body.organisation, body.session, body.token)
+        self._store(body.organisation, body.session, body.token)
 
-    def _keep(self, organisation: str, session: str, token: str) -> None:
+    def _store(self, organisation: str, session: str, token: str) -> None:
         key = (organisation, session)
         self.tokens[key] = token
         self.tokens.move_to_end(key)
--- a/walnutquay/coordination/own/planning.py
+++ b/walnutquay/coordination/own/planning.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What a chat request is to run on: its session's binding, its plan, its beginning."""
+"""Planning of chat requests: the binding of the session and the versions to try."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 class ChatPlanner:
     """Plans chat requests.
 
-    :param parts: what the request's path works with.
-    :param quality: knows which steps of a cascade are worth their cost.
+    :param parts: the components of the request path.
+    :param quality: skips the steps of a cascade that are not worth their cost.
     :param sealer: signs session tokens.
-    :param pins: pins of sessions without tokens.
+    :param pins: the pins of sessions without tokens.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         self.pins = pins
 
     def local_restrictions(self) -> Doubts:
-        """:returns: what this VM holds against versions by itself."""
+        """Return the restrictions that this VM places on versions by itself."""
         age = self.parts.configurations.confirmed_age()
         return Doubts(age, self.parts.health.table.braked)
 
@@ -51,7 +51,8 @@
         """Plan a request.
 
         :param arrival: the request.
-        :returns: it with its plan and its session's binding, or why it cannot run.
+        :returns: the request with its plan and its session's binding, or why it cannot
+            run.
         """
         try:
             pin, tokenless = await self._pin(arrival)
@@ -61,7 +62,7 @@
         if planned.is_error():
             return Error(planned.error)
         if tokenless and not pin.versions:
-            # The session's first turn: agree on its binding before it runs.
+            # On the first turn of a session, VMs agree on its binding before it runs.
             first = planned.ok.steps[0]
             revision = self.parts.configurations.current.revision
             proposed = pin.after(first.model, first.name, "", revision)
@@ -76,7 +77,7 @@
         return Ok(ChatTurn(arrival, pin, tokenless, planned.ok))
 
     async def _pin(self, arrival: ChatArrival) -> tuple[Pin, bool]:
-        """Find what the session is bound to, and whether it is a bare one."""
+        """Return the pin of the session, and whether the session has no token."""
         organisation = arrival.organisation.name
         if arrival.token:
             pin = self.sealer.open(arrival.token, organisation)
@@ -85,13 +86,13 @@
             return pin, False
         if arrival.session:
             session = SessionId(arrival.session)
-            kept = await self.pins.find(organisation, session)
-            return kept or Pin(session, organisation), True
+            stored = await self.pins.find(organisation, session)
+            return stored or Pin(session, organisation), True
         return Pin(self.context.new_session(), organisation), False
 
     def _plan_for(self, arrival: ChatArrival, pin: Pin) -> Result[Plan, Refusal]:
         current = self.parts.configurations.current
-        # The organisation as it is now, not as it was when the key was checked.
+        # The configuration may have changed since the API key was checked.
         organisation = current.organisations.get(arrival.organisation.name)
         if organisation is None:
             return Error(
@@ -115,10 +116,11 @@
         return planned.map(lambda found: self._skip_steps(found, arrival, pin))
 
     def _skip_steps(self, found: Plan, arrival: ChatArrival, pin: Pin) -> Plan:
-        """Choose the step to begin with.
+        """Skip the first steps of a plan where that is justified.
 
-        A session begins with the first step that has served it, so that what is
-        learnt meanwhile does not move it to another version.
+        A session starts with the first step that has served it before, so that
+        ratings learnt in the meantime do not move it to another version.  Otherwise
+        steps that are not worth their cost are skipped.
         """
         served = [
             index
--- a/walnutquay/coordination/own/quality.py
+++ b/walnutquay/coordination/own/quality.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""How good answers are: ratings, what is learnt from them, and what follows."""
+"""Quality of answers: ratings, and the cascade steps learnt from them."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 from walnutquay.state.process.events import EventKind
 from walnutquay.state.store.parts import Cascade, Version
 
-# What the counts of ratings are called: this, cascade, class and version.
+# The subject of the counts of ratings: this prefix, cascade, class and version.
 RATED = "rated"
 SUBJECT_PARTS = 4
-# Ratings that are asked for in the background at once; more are left out.
+# The maximum number of ratings requested in the background at once; others are skipped.
 MAX_SAMPLING = 16
-# Of a version in roll-out all answers are rated, for its test needs ratings; of the
-# one it is compared with at least this share.
+# The share of answers to rate: all of a version in roll-out, since its test needs
+# ratings, and at least OLD_SAMPLE of the version that it is compared with.
 NEW_SAMPLE = 1.0
 OLD_SAMPLE = 0.1
 
 
 class AnswerQuality:
-    """Has answers rated, learns from it, and chooses a cascade's steps by it.
+    """Rates answers, and chooses the steps of a cascade by what ratings have shown.
 
-    :param context: what this process shares.
-    :param rater: the adapter to the rater.
-    :param tallies: the counts of all VMs.
+    :param context: the state shared by this process.
+    :param rater: the adapter to the rating service.
+    :param tallies: the outcome counts of all VMs.
     :param health: the tests of versions in roll-out.
     """
 
@@ -53,14 +53,15 @@
         steps: tuple[Version, ...],
         stream: bool,
     ) -> tuple[Version, ...]:
-        """Leave out the steps that are not worth their cost.
+        """Skip the first steps of a cascade that are not worth their cost.
 
         :param cascade: the cascade.
-        :param request_class: the caller's class of request.
+        :param request_class: the request class that the caller named.
         :param steps: the versions to try, in order.
-        :param stream: whether the answer is streamed: then it cannot be taken
-            back, and what counts is how often the first is good enough.
-        :returns: the versions to try.
+        :param stream: whether the answer is streamed.  A streamed answer cannot be
+            replaced by that of a later step, so the first step is chosen by how often
+            its answers are good enough.
+        :returns: the versions to try, in order.
         """
         if len(steps) < 2 or not cascade.quality or not cascade.learn:
             return steps
@@ -77,20 +78,21 @@
         return steps[first:]
 
     def record_usage(self, turn: ChatTurn, usage: chat.Usage) -> None:
-        """:param turn: a request that was answered.
+        """Record the tokens that a request used.
 
-        :param usage: the tokens it took.
+        :param turn: a request that was answered.
+        :param usage: the tokens it used.
         """
         self.learner.take_tokens(
             turn.arrival.request_class, usage.input_tokens, usage.output_tokens
         )
 
     async def reaches_quality(self, turn: ChatTurn, answer: bytes) -> bool:
-        """Have an answer rated, and learn from it.
+        """Rate an answer, and record the rating.
 
         :param turn: the request.
         :param answer: a chat completion, as JSON.
-        :returns: whether it is good enough; so is one that is not rated.
+        :returns: whether it reaches the required quality; True if it cannot be rated.
         """
         rating = await self.rater.rate(
             turn.arrival.request_class, turn.target, turn.arrival.body, answer
@@ -110,18 +112,18 @@
         return reached
 
     def sample(self, turn: ChatTurn, answer: bytes) -> None:
-        """Have some of the answers rated that nobody waits to have rated.
+        """Rate a sample of the answers whose rating no request waits for.
 
-        :param turn: the request, as it stands now.
+        :param turn: the request, in its current state.
         :param answer: a chat completion, as JSON.
         """
         if self.should_sample(turn):
             self.rate_in_background(turn, answer)
 
     def should_sample(self, turn: ChatTurn) -> bool:
-        """:param turn: a request whose answer nobody waits to have rated.
+        """Return whether to rate an answer whose rating no request waits for.
 
-        :returns: whether it is to be rated all the same.
+        :param turn: the request.
         """
         if not turn.plan.quality:
             return False
@@ -133,9 +135,9 @@
         return self.context.rng.random() < share
 
     def rate_in_background(self, turn: ChatTurn, answer: bytes) -> None:
-        """Have an answer rated in the background.
+        """Rate an answer in the background.
 
-        :param turn: the request, as it stands now.
+        :param turn: the request, in its current state.
         :param answer: a chat completion, as JSON.
         """
         if len(self.sampling.running) >= MAX_SAMPLING:
@@ -144,15 +146,15 @@
         self.sampling.spawn(self.reaches_quality(turn.snapshot(), answer))
 
     def on_outcome_counts(self, subject: str, good: int, bad: int) -> None:
-        """Learn from ratings, of this VM or of others.
+        """Learn from ratings counted by any VM.
 
-        :param subject: what was counted.
-        :param good: answers that reached the quality.
-        :param bad: answers that did not.
+        :param subject: the subject of the counts.
+        :param good: the number of answers that reached the quality.
+        :param bad: the number of answers that did not.
         """
         if not subject.startswith(RATED + SEPARATOR):
             return
-        # A class is named by callers and may have the separator in it.
+        # Callers name the class, so it may contain the separator.
         _, cascade, rest = subject.split(SEPARATOR, 2)
         request_class, version = rest.rsplit(SEPARATOR, 1)
         self.learner.take(WorthKey(cascade, request_class, version), good, bad)
--- a/walnutquay/coordination/own/rater.py
+++ b/walnutquay/coordination/own/rater.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The adapter to the service that rates answers."""
+"""The adapter to the rating service."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class Rater:
-    """Asks for ratings of answers.
+    """Requests ratings of answers.
 
-    :param client: the connections.
-    :param section: the settings.
+    :param client: the HTTP client.
+    :param section: the settings of the rating service.
     """
 
     def __init__(self, client: HttpClient, section: RaterSection) -> None:
@@ -28,13 +28,14 @@
     async def rate(
         self, request_class: str, version: str, question: bytes, answer: bytes
     ) -> float | None:
-        """Ask how good an answer is.
-
-        :param request_class: the caller's class of request.
-        :param version: what answered.
-        :param question: the chat body.
-        :param answer: the answer's body.
-        :returns: from 0 to 1; None where the rater does not say.
+        """Request the rating of an answer.
+
+        :param request_class: the request class that the caller named.
+        :param version: the version that answered.
+        :param question: the body of the chat request.
+        :param answer: the body of the answer.
+        :returns: a rating from 0 to 1; None if there is no rating service or the
+            request for a rating failed.
         """
         if not self.section.url:
             return None
@@ -56,5 +57,7 @@
                 parsed = orjson.loads(await reply.read())
                 return float(parsed["rating"])
         except (EndpointError, orjson.JSONDecodeError, KeyError, ValueError) as error:
-            log.debug("no rating: {}", error)
+            log.debug(
+                "request for a rating failed; the answer stays unrated: {}", error
+            )
             return None
--- a/walnutquay/coordination/own/services.py
+++ b/walnutquay/coordination/own/services.py
@@ -21,15 +21,15 @@
 from walnutquay.transport.client import HttpClient
 from walnutquay.transport.timers import monotonic
 
-# An answer larger than this is not passed on.
+# The maximum size of an answer that is forwarded; bytes.
 MAX_ANSWER = 32 << 20
 
 
 class ServicePath(KeyedPath):
-    """Serves calls of plain services.
+    """Serves calls to plain services.
 
-    :param parts: what it works with.
-    :param client: the connections to endpoints.
+    :param parts: the shared components.
+    :param client: the HTTP client for endpoints.
     """
 
     def __init__(self, parts: KeyedParts, client: HttpClient) -> None:
@@ -37,7 +37,7 @@
         self.client = client
 
     async def run(self, arrival: ServiceArrival, stage: Received) -> Outcome:
-        """Serve a call that may be run.
+        """Serve a call that has been accepted.
 
         :param arrival: the call.
         :param stage: its stage.
@@ -46,9 +46,10 @@
         return await self.attempts(ServiceTurn(arrival), stage)
 
     def no_longer_allowed(self, turn: ServiceTurn) -> Refusal | None:
-        """:param turn: the call.
+        """Check whether the organisation may still call the service.
 
-        :returns: why the organisation may not make it now, or None.
+        :param turn: the call.
+        :returns: why the organisation may not call it now, or None.
         """
         name = turn.arrival.organisation.name
         organisation = self.parts.configurations.current.organisations.get(name)
@@ -61,11 +62,11 @@
     async def exchange(
         self, turn: ServiceTurn, running: Dispatched, grant: Grant
     ) -> Outcome:
-        """Talk to a service.
+        """Exchange a call and its answer with an endpoint of the service.
 
         :param turn: the call.
         :param running: its stage.
-        :param grant: the endpoint.
+        :param grant: the slot at the endpoint.
         """
         started = monotonic()
         answer = await self._call(turn, running, grant)
--- a/walnutquay/coordination/own/turns.py
+++ b/walnutquay/coordination/own/turns.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Requests on their way, with what has come of them so far."""
+"""The state of chat requests, service calls and forwarded streams in progress."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from walnutquay.state.requests.stages import CostLine
 from walnutquay.state.store.parts import Version
 
-# Prices are those of so many tokens.
+# The number of tokens to which a price applies.
 TOKENS_PER_PRICE = 1000
 
 
 @dataclass(slots=True)
 class ChatTurn(Turn):
-    """A chat request on its way, with what has come of it so far.
+    """A chat request in progress, with its plan and its results so far.
 
-    :param arrival: the request.
+    :param arrival: the request as received.
     :param pin: the session's binding.
     :param tokenless: whether the caller sent a session id and no token.
     :param plan: the versions to try.
-    :param step: the index of the version that is tried now.
-    :param lines: what its steps cost.
+    :param step: the index of the version that is being tried.
+    :param lines: the costs of its steps.
     :param best: the answer of an earlier step that was rated too low.
     """
 
@@ -42,17 +42,17 @@
 
     @property
     def version(self) -> Version:
-        """The version that is tried now."""
+        """The version that is being tried."""
         return self.plan.steps[self.step]
 
     @property
     def target(self) -> str:
-        """The name of the version that is tried now."""
+        """The name of the version that is being tried."""
         return self.version.name
 
     @property
     def repeatable(self) -> bool:
-        """Model work may be done again, unless the caller's key forbids it."""
+        """Whether it may be run again: yes, unless it has an idempotency key."""
         return not self.arrival.key
 
     @property
@@ -67,33 +67,36 @@
 
     @property
     def prefix(self) -> str:
-        """The version, whose cache it is, and the first words of the prompt."""
+        """The key of the prompt's prefix: the version and the first characters.
+
+        The version is part of the key since each version has a cache of its own.
+        """
         return f"{self.target}\n{chat.beginning(self.arrival.call.body)}"
 
     @property
     def last_step(self) -> bool:
-        """Whether no further version is left."""
+        """Whether the current version is the last of the plan."""
         return self.step + 1 >= len(self.plan.steps)
 
     @property
     def bound(self) -> bool:
-        """Whether the session was bound to the version that is tried now."""
+        """Whether the session is bound to the version that is being tried."""
         return self.pin.version_of(self.version.model) == self.version.name
 
     def next_step(self) -> None:
-        """Go on to the next version."""
+        """Continue with the next version."""
         self.step += 1
         self.tried = frozenset()
 
     def snapshot(self) -> ChatTurn:
-        """:returns: the request as it stands now, whatever becomes of it."""
+        """Return a copy that later changes to this request do not affect."""
         return replace(self, lines=list(self.lines))
 
     def cost(self, endpoint: str, usage: chat.Usage) -> CostLine:
-        """Work out what the present step costs.
+        """Return the cost of the current step.
 
-        :param endpoint: where it ran.
-        :param usage: the tokens it took.
+        :param endpoint: the endpoint that ran it.
+        :param usage: the tokens it used.
         """
         version = self.version
         cost = (
@@ -107,9 +110,9 @@
 
 @dataclass(slots=True)
 class ServiceTurn(Turn):
-    """A service call on its way.
+    """A service call in progress.
 
-    :param arrival: the call.
+    :param arrival: the call as received.
     """
 
     arrival: ServiceArrival
@@ -121,42 +124,49 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether the service lets this method be repeated, and no key forbids."""
+        """Whether the method is repeatable at the service and the call has no key."""
         methods = self.arrival.service.repeatable
         return self.arrival.method in methods and not self.arrival.key
 
 
 class ForwardedStream:
-    """What of a stream has been passed on to the caller."""
+    """The part of a stream that has been forwarded to the caller."""
 
     def __init__(self) -> None:
         self.begun = False
-        # Whether the bill for the whole stream has been made.
+        # Whether the complete stream has been billed.
         self.billed = False
         self.headers: dict[str, str] = {}
         self.events: list[bytes] = []
         self.chunks = 0
-        # Whether it is to be rated once it is whole.
+        # Whether the answer will be rated once it is complete.
         self.sampled = False
-        # Whether the events are kept, for repeats or to have them rated.
+        # Whether the events are kept, for repeats of the key or for rating.
         self.keep_events = False
-        # Seconds that went by in passing events on, not in waiting for them.
+        # Seconds spent on billing and on writing to the caller, not on waiting for
+        # the engine.
         self.forwarding_seconds = 0.0
         self.reported_usage = chat.NO_USAGE
 
     def take(self, event: bytes) -> None:
-        """:param event: an event that is passed on."""
+        """Record an event that is forwarded.
+
+        :param event: the event, as received from the engine.
+        """
         if self.keep_events:
             self.events.append(event)
         if event == chat.END_MARK:
             return
         self.chunks += 1
-        # Only the last event tells the usage; the test spares the parsing.
+        # Only the last event contains the usage; this test avoids parsing the others.
         if b'"usage"' in event:
             self.reported_usage = chat.usage_of(chat.event_json(event) or {})
 
     def usage(self) -> chat.Usage:
-        """:returns: the engine's count, or that of the events passed on."""
+        """Return the usage that the engine reported, or the number of events forwarded.
+
+        Each event forwarded counts as one output token.
+        """
         if self.reported_usage != chat.NO_USAGE:
             return self.reported_usage
         return chat.Usage(0, self.chunks)
