--- a/walnutquay/coordination/own/chats.py
+++ b/walnutquay/coordination/own/chats.py
@@ -238,7 +238,7 @@
             )
 
     def _headers(self, turn: ChatTurn, grant: Grant) -> dict[str, str]:
-        """Return the headers that name the endpoint and carry the new session token."""
+        """Update the session's pin, and return the headers of the answer."""
         current = self.parts.configurations.current
         pin = turn.pin.after(
             turn.version.model, turn.version.name, grant.name, current.revision
--- a/walnutquay/coordination/own/endpoints.py
+++ b/walnutquay/coordination/own/endpoints.py
@@ -31,7 +31,7 @@
 
 REPORT_PERIOD = 1.0
 REPORT_TIMEOUT = 0.8
-# The maximum number of endpoints that one VM queries at a time.  It counts the requests
+# The maximum number of endpoints that one VM queries in each round.  It knows the load
 # that it sends itself without reports.
 MAX_REPORTERS = 16
 
--- a/walnutquay/coordination/own/engines.py
+++ b/walnutquay/coordination/own/engines.py
@@ -199,7 +199,8 @@
             except NotStartedError as error:
                 if first_error is None:
                     raise
-                # An earlier attempt was started, even if this one was not.
+                # The engine started the request at an earlier attempt, whatever this
+                # error says.
                 raise first_error from error
             except EngineRefusalError:
                 raise
--- a/walnutquay/coordination/own/health.py
+++ b/walnutquay/coordination/own/health.py
@@ -146,7 +146,7 @@
         assert isinstance(envelope.body, VersionBrake)
         version = envelope.body.version
         if self.table.brake(version):
-            self._log_rejection(version, f"rejected by {envelope.vm}")
+            self._log_rejection(version, f"{envelope.vm} has rejected it")
 
     def _log_rejection(self, version: str, why: str) -> None:
         self.context.timeline.emit(EventKind.BRAKED, version=version, detail=why)
