--- a/walnutquay/coordination/fleet/register.py
+++ b/walnutquay/coordination/fleet/register.py
@@ -1,26 +1,30 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The list of entry VMs in the store, as the fleet uses it."""
+"""The interface to the list of entry VMs in the store."""
 
 from __future__ import annotations
 
 from typing import Protocol
 
-from walnutquay.state.fleet.membership import VmPlace
+from walnutquay.state.fleet.membership import VmLocation
 from walnutquay.state.process.ids import VmName
 
 
 class Register(Protocol):
     """The list of entry VMs in the store."""
 
-    async def enter(self, vm: VmName, place: VmPlace) -> None:
-        """:param vm: this VM.
+    async def enter(self, vm: VmName, place: VmLocation) -> None:
+        """Add or replace the entry of a VM.
 
-        :param place: where its peers reach it.
+        :param vm: this VM.
+        :param place: its address for peers, and its data hall.
         """
 
     async def leave(self, vm: VmName) -> None:
-        """:param vm: this VM."""
+        """Remove the entry of a VM.
 
-    async def read(self) -> dict[VmName, VmPlace]:
-        """:returns: where each VM is."""
+        :param vm: the VM.
+        """
+
+    async def read(self) -> dict[VmName, VmLocation]:
+        """Return the location of each VM."""
--- a/walnutquay/coordination/own/billing.py
+++ b/walnutquay/coordination/own/billing.py
@@ -336,7 +336,7 @@
             kept = self.kept[incarnation] = BillLog(incarnation)
         if envelope.incarnation == incarnation or incarnation not in self.vm_of:
             self.vm_of[incarnation] = envelope.vm
-        kept.skip_to(envelope.body.next_batch)
+        kept.mark_stored_below(envelope.body.next_batch)
         for record in decode_records(envelope.body.records):
             kept.add(record)
         return BillsMissing(kept.end) if kept.has_gap() else BillTaken()
@@ -349,7 +349,7 @@
         assert isinstance(envelope.body, BillStored)
         kept = self.kept.get(Incarnation(envelope.body.incarnation))
         if kept is not None:
-            kept.skip_to(envelope.body.next_batch)
+            kept.mark_stored_below(envelope.body.next_batch)
 
     def _seconds_silent(self, incarnation: Incarnation) -> float:
         """:param incarnation: one that records are kept for.
@@ -359,12 +359,12 @@
         """
         vm = self.vm_of.get(incarnation, "")
         member = self.members.table.members.get(vm)
-        if member is None or member.news.incarnation > incarnation:
+        if member is None or member.latest.incarnation > incarnation:
             return math.inf
         now = monotonic()
         if self.members.table.state_of(member, now) is MemberState.ALIVE:
             return 0.0
-        return now - member.heard_at
+        return now - member.last_seen_at
 
     async def flush_for_dead(self) -> None:
         """Store what is kept for VMs that are gone.
--- a/walnutquay/coordination/own/chats.py
+++ b/walnutquay/coordination/own/chats.py
@@ -29,7 +29,7 @@
 from walnutquay.exceptions import EndpointError
 from walnutquay.protocol import chat
 from walnutquay.state.own.claims import RunState, WholeAnswer
-from walnutquay.state.own.routing import allowed
+from walnutquay.state.own.routing import check_allowed
 from walnutquay.state.process.events import EventKind
 from walnutquay.state.requests.refusals import Refusal, RefusalCode
 from walnutquay.state.requests.stages import (
@@ -92,7 +92,7 @@
         :param turn: the request.
         :returns: why the version may not run it now, or None.
         """
-        return allowed(
+        return check_allowed(
             self.parts.configurations.current,
             turn.arrival.organisation.name,
             turn.target,
@@ -240,7 +240,7 @@
     def _headers(self, turn: ChatTurn, grant: Grant) -> dict[str, str]:
         """Update the session's pin, and return the headers of the answer."""
         current = self.parts.configurations.current
-        pin = turn.pin.after(
+        pin = turn.pin.after_turn(
             turn.version.model, turn.version.name, grant.name, current.revision
         )
         if turn.tokenless:
--- a/walnutquay/coordination/own/health.py
+++ b/walnutquay/coordination/own/health.py
@@ -14,7 +14,7 @@
 from walnutquay.coordination.process.dispatcher import Dispatcher
 from walnutquay.protocol.messages import Envelope
 from walnutquay.protocol.ownmessages import VersionBrake
-from walnutquay.state.own.brakes import BrakeTable, Measure, Stage
+from walnutquay.state.own.circuitbreakers import CircuitBreakerTable, Measure, Stage
 from walnutquay.state.own.configuration import Configuration
 from walnutquay.state.process.events import EventKind
 from walnutquay.state.process.ids import RolloutState
@@ -47,7 +47,7 @@
         self.context = context
         self.members = members
         self.tallies = tallies
-        self.table = BrakeTable()
+        self.table = CircuitBreakerTable()
         self.duration_table = DurationTable()
         # The stage of each version in roll-out, and when it came into force on this VM;
         # monotonic seconds.
@@ -68,7 +68,7 @@
             for rollout in configuration.content.rollouts
             if rollout.state in (RolloutState.RUNNING, RolloutState.PAUSED)
         }
-        self.table.under_rollout(stages)
+        self.table.set_stages(stages)
         now = monotonic()
         self.stage_since = {
             version: self.stage_since[version]
@@ -133,7 +133,7 @@
         if not subject.startswith(TRIAL + SEPARATOR):
             return
         _, stage, measure, version = subject.split(SEPARATOR)
-        if not self.table.take(stage, version, Measure(measure), good, bad):
+        if not self.table.record(stage, version, Measure(measure), good, bad):
             return
         self._log_rejection(version, f"bad verdict of the test of {measure} outcomes")
         self.members.tell_all(VersionBrake(version))
@@ -145,7 +145,7 @@
         """
         assert isinstance(envelope.body, VersionBrake)
         version = envelope.body.version
-        if self.table.brake(version):
+        if self.table.reject(version):
             self._log_rejection(version, f"{envelope.vm} has rejected it")
 
     def _log_rejection(self, version: str, why: str) -> None:
--- a/walnutquay/coordination/routed/cascading.py
+++ b/walnutquay/coordination/routed/cascading.py
@@ -37,7 +37,7 @@
 class Peers(Protocol):
     """The other entry VMs."""
 
-    def tell(self, body: Message) -> None:
+    def send_to_some(self, body: Message) -> None:
         """Send a message to some of the VMs; it may be lost.
 
         :param body: the message.
@@ -79,7 +79,7 @@
         rows = self.choice.gains.rows()
         if rows != self.sent_rows:
             self.sent_rows = rows
-            self.peers.tell(OpinionNews(rows))
+            self.peers.send_to_some(OpinionNews(rows))
 
     def receive(self, envelope: Envelope) -> None:
         """Apply what another VM has learnt.
