--- a/walnutquay/coordination/own/chats.py
+++ b/walnutquay/coordination/own/chats.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The path of chat requests: plan, place, dispatch, rating, bill, answer."""
+"""The path of chat requests: plan, slot, dispatch, rating, bill, answer."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from walnutquay.coordination.own.keyed import KeyedParts, KeyedPath
 from walnutquay.coordination.own.planning import ChatPlanner
 from walnutquay.coordination.own.quality import AnswerQuality
-from walnutquay.coordination.own.turns import ChatTurn, PassedStream
+from walnutquay.coordination.own.turns import ChatTurn, ForwardedStream
 from walnutquay.coordination.requests.outcomes import (
     ChatArrival,
     Outcome,
@@ -43,11 +43,11 @@
 class ChatPath(KeyedPath):
     """Serves chat requests.
 
-    :param parts: what it works with.
+    :param parts: the shared components.
     :param engines: the adapter to engines.
-    :param quality: has answers rated, and learns from it.
-    :param planner: says what each request is to run on.
-    :param idle: seconds that an engine may be silent.
+    :param quality: rates answers and learns from the ratings.
+    :param planner: plans the versions to try for each request.
+    :param idle: the maximum time that an engine may be silent; seconds.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         self.idle = idle
 
     async def run(self, arrival: ChatArrival, stage: Received) -> Outcome:
-        """Serve a chat request that may be run.
+        """Plan and serve a chat request that has been accepted.
 
         :param arrival: the request.
         :param stage: its stage.
@@ -84,28 +84,30 @@
         self.parts.retries.first_try()
         return await self.attempts(turn, stage)
 
-    # Steps.
+    # Steps of the plan.
 
     def no_longer_allowed(self, turn: ChatTurn) -> Refusal | None:
-        """:param turn: the request.
+        """Check whether the current version may still run a request.
 
-        :returns: why the present version may not run now, or None.
+        :param turn: the request.
+        :returns: why the version may not run it now, or None.
         """
         return check_allowed(
             self.parts.configurations.current,
             turn.arrival.organisation.name,
             turn.target,
             turn.bound,
-            self.planner.doubts(),
+            self.planner.local_restrictions(),
         )
 
     def retarget(self, turn: ChatTurn, refusal: Refusal) -> bool:
-        """Go on to the next version where the present one cannot be had.
+        """Continue with the next version if the current one is unavailable.
 
-        A session that is bound to the present version waits for it instead.
+        A session that is bound to the current version waits for it instead.
 
         :param turn: the request.
-        :param refusal: why the version cannot be had.
+        :param refusal: why the version is unavailable.
+        :returns: whether the request continues with the next version.
         """
         if turn.last_step or turn.bound:
             return False
@@ -121,7 +123,7 @@
 
         :param turn: the request.
         :param stage: its stage.
-        :param refusal: why the present step has no place.
+        :param refusal: why there is no slot for the current step.
         """
         if turn.best is None or isinstance(stage, Received):
             return await super().no_slot(turn, stage, refusal)
@@ -135,7 +137,7 @@
 
         :param turn: the request.
         :param running: its stage.
-        :param error: how the present step failed.
+        :param error: how the current step failed.
         """
         if turn.best is None:
             return await super().abandon(turn, running, error)
@@ -145,29 +147,29 @@
     async def exchange(
         self, turn: ChatTurn, running: Dispatched, grant: Grant
     ) -> Outcome | Continuing:
-        """Talk to an engine.
+        """Exchange a chat request and its answer with an engine.
 
         :param turn: the request.
         :param running: its stage.
-        :param grant: the engine.
+        :param grant: the slot at the engine.
         """
         call = self._engine_call(turn, running, grant)
         started = monotonic()
         if turn.arrival.call.stream:
             return await self._stream(turn, running, grant, call)
-        answer = await self.engines.whole(call)
+        answer = await self.engines.fetch_answer(call)
         self._succeeded(turn, grant, monotonic() - started)
         return await self._answered(turn, running, grant, answer)
 
     def count_failure(self, turn: ChatTurn, grant: Grant, error: EndpointError) -> None:
-        """Learn from a failure of an engine, and of the version there.
+        """Count a failure against an engine and the version that ran there.
 
         :param turn: the request.
-        :param grant: the engine.
+        :param grant: the slot at the engine.
         :param error: how it failed.
         """
         super().count_failure(turn, grant, error)
-        self.parts.health.note(turn.target, good=False)
+        self.parts.health.record_outcome(turn.target, good=False)
 
     def _engine_call(
         self, turn: ChatTurn, running: Dispatched, grant: Grant
@@ -187,38 +189,43 @@
         self.parts.table.succeeded(grant.name, kind, seconds, monotonic())
         self.on_whole_answer(turn, grant)
         self.on_success(turn)
-        self.parts.health.note(turn.target, True, turn.arrival.request_class, seconds)
+        self.parts.health.record_outcome(
+            turn.target, True, turn.arrival.request_class, seconds
+        )
 
-    # Whole answers.
+    # Complete answers.
 
     async def _answered(
         self, turn: ChatTurn, running: Dispatched, grant: Grant, answer: EngineAnswer
     ) -> Outcome | Continuing:
-        """Take a step's answer, or go on to the next step."""
+        """Accept the answer of a step, or continue with the next step."""
         if answer.status == 200:
             turn.lines.append(turn.cost(grant.name, answer.usage))
-            self.quality.took(turn, answer.usage)
+            self.quality.record_usage(turn, answer.usage)
         whole = WholeAnswer(
             answer.status,
             chat.JSON_TYPE,
             answer.body,
             tuple(self._headers(turn, grant).items()),
         )
-        if await self._too_low(turn, answer):
+        if await self._below_quality(turn, answer):
             turn.best = whole
             turn.next_step()
             return running.proceed()
         running.answered()
         return await self._finish(turn, whole)
 
-    async def _too_low(self, turn: ChatTurn, answer: EngineAnswer) -> bool:
-        """Have an answer rated, where another step could better it."""
+    async def _below_quality(self, turn: ChatTurn, answer: EngineAnswer) -> bool:
+        """Return whether an answer is rated too low and another step remains.
+
+        The answer of the last step is only rated as a sample, in the background.
+        """
         if answer.status != 200 or not turn.plan.quality:
             return False
         if turn.last_step:
             self.quality.sample(turn, answer.body)
             return False
-        return not await self.quality.reaches(turn, answer.body)
+        return not await self.quality.reaches_quality(turn, answer.body)
 
     async def _finish(self, turn: ChatTurn, answer: WholeAnswer) -> Whole:
         await self._bill(turn)
@@ -231,12 +238,12 @@
             )
 
     def _headers(self, turn: ChatTurn, grant: Grant) -> dict[str, str]:
-        """Say who serves the request, and give the session's new token."""
+        """Update the session's pin, and return the headers of the answer."""
         current = self.parts.configurations.current
         pin = turn.pin.after_turn(
             turn.version.model, turn.version.name, grant.name, current.revision
         )
-        if turn.bare:
+        if turn.tokenless:
             self.planner.pins.update(pin)
         turn.pin = pin
         return {
@@ -253,71 +260,77 @@
     async def _stream(
         self, turn: ChatTurn, running: Dispatched, grant: Grant, call: EngineCall
     ) -> Outcome | Continuing:
-        """Pass a stream on; its end mark goes out once the bill is safe."""
+        """Forward a stream; its end mark is sent once the bill is safely recorded."""
         reply = turn.arrival.reply
         assert reply is not None
-        passed = PassedStream()
-        passed.sampled = self.quality.wants_sample(turn)
-        passed.keep = passed.sampled or bool(turn.arrival.key)
+        forwarded = ForwardedStream()
+        forwarded.sampled = self.quality.should_sample(turn)
+        forwarded.keep_events = forwarded.sampled or bool(turn.arrival.key)
         started = monotonic()
         try:
-            await self._pass_on(turn, grant, call, reply, passed)
+            await self._forward(turn, grant, call, reply, forwarded)
         except EngineRefusalError as error:
             return await self._answered(turn, running, grant, error.answer)
         except EndpointError as error:
-            if not passed.begun:
+            if not forwarded.begun:
                 raise
-            return await self._broken(turn, running, grant, reply, error)
+            return await self._on_broken_stream(turn, running, grant, reply, error)
         except asyncio.CancelledError:
-            # The caller has gone: what it was given is billed all the same.
-            if passed.begun and not passed.billed:
-                turn.lines.append(turn.cost(grant.name, passed.usage()))
+            # The caller has disconnected; the events it was sent are still billed.
+            if forwarded.begun and not forwarded.billed:
+                turn.lines.append(turn.cost(grant.name, forwarded.usage()))
                 self.background.spawn(self._bill(turn))
             raise
-        self._succeeded(turn, grant, monotonic() - started - passed.passing_seconds)
+        self._succeeded(
+            turn, grant, monotonic() - started - forwarded.forwarding_seconds
+        )
         running.answered()
-        self._keep_stream(turn, passed)
+        self._record_stream(turn, forwarded)
         return Streamed(whole=True)
 
-    def _keep_stream(self, turn: ChatTurn, passed: PassedStream) -> None:
-        """Learn from a whole stream, and keep it for repeats of its key."""
-        self.quality.took(turn, passed.usage())
-        if passed.sampled:
-            self.quality.rate_later(turn, chat.whole_of(passed.events))
+    def _record_stream(self, turn: ChatTurn, forwarded: ForwardedStream) -> None:
+        """Record the usage of a complete stream; rate it, or store it for repeats.
+
+        Sampled answers are rated in the background.  A stream whose request has an
+        idempotency key is stored for repeats of the key.
+        """
+        self.quality.record_usage(turn, forwarded.usage())
+        if forwarded.sampled:
+            self.quality.rate_in_background(turn, chat.whole_of(forwarded.events))
         if turn.arrival.key:
             stream = WholeAnswer(
                 200,
                 chat.STREAM_TYPE,
-                b"".join(passed.events),
-                tuple(passed.headers.items()),
+                b"".join(forwarded.events),
+                tuple(forwarded.headers.items()),
             )
             self.parts.claims.finish(turn.arrival.request, RunState.ANSWERED, stream)
 
-    async def _pass_on(
+    async def _forward(
         self,
         turn: ChatTurn,
         grant: Grant,
         call: EngineCall,
         reply: Reply,
-        passed: PassedStream,
+        forwarded: ForwardedStream,
     ) -> None:
         async for event in self.engines.events(call):
-            if not passed.begun:
-                passed.headers = self._headers(turn, grant)
-                passed.begun = True
+            if not forwarded.begun:
+                forwarded.headers = self._headers(turn, grant)
+                forwarded.begun = True
                 grant.began = monotonic()
-                await reply.begin(passed.headers)
-            passed.take(event)
-            passing = monotonic()
+                await reply.begin(forwarded.headers)
+            forwarded.take(event)
+            write_started = monotonic()
             if event == chat.END_MARK:
-                turn.lines.append(turn.cost(grant.name, passed.usage()))
-                # A caller who goes away from here on must not be billed again.
-                passed.billed = True
+                turn.lines.append(turn.cost(grant.name, forwarded.usage()))
+                # A caller that disconnects after this point must not be billed again.
+                forwarded.billed = True
                 await self._bill(turn)
             await reply.write(event)
-            passed.passing_seconds += monotonic() - passing
+            forwarded.forwarding_seconds += monotonic() - write_started
 
-    async def _broken(
+    async def _on_broken_stream(
         self,
         turn: ChatTurn,
         running: Dispatched,
@@ -325,7 +338,7 @@
         reply: Reply,
         error: EndpointError,
     ) -> Streamed:
-        """Say in the stream that it is not whole."""
+        """End a broken stream with an error event that says it is incomplete."""
         await self.note_failure(turn, grant, error)
         running.unknown()
         message = f"the answer broke off: {error.reason}"
