--- a/tests/coordination/requests/test_crashes.py
+++ b/tests/coordination/requests/test_crashes.py
@@ -139,7 +139,7 @@
         self.assertIn(b'"not_run"', answer.body)
         self.assertNotIn("Retry-After", answer.headers)
         refused = self.events_of(EventKind.REFUSED)
-        self.assertIn("3 endpoints crashed while running", str(refused[-1]["reason"]))
+        self.assertIn("3 endpoints ended as they ran", str(refused[-1]["reason"]))
 
     async def test_metrics_and_fleet_state_show_it(self):
         await self.block()
--- a/walnutquay/coordination/requests/crashes.py
+++ b/walnutquay/coordination/requests/crashes.py
@@ -124,8 +124,8 @@
         names = ", ".join(crash.endpoint for crash in crashes)
         return Refusal(
             RefusalCode.ENDS_ENDPOINTS,
-            f"{len(crashes)} endpoints crashed while running this request, the last "
-            f"one {last:.1f} s ago; it will not be sent again ({names})",
+            f"{len(crashes)} endpoints ended as they ran this request, the last one "
+            f"{last:.1f} s ago; it will not be tried again ({names})",
         )
 
     def _is_blocked_for(
--- a/walnutquay/coordination/requests/limits.py
+++ b/walnutquay/coordination/requests/limits.py
@@ -27,7 +27,7 @@
     """
 
     arrival: Arrival
-    reason: str = "its deadline passed while this VM was suspended"
+    reason: str = "its time passed while this VM was away"
 
 
 class CallLimits:
@@ -80,5 +80,5 @@
         now = asyncio.get_running_loop().time()
         for limit, call in self.calls.items():
             if blocked and call.arrival.fingerprint() in blocked:
-                call.reason = "it crashes the endpoints that run it"
+                call.reason = "it ends the endpoints that run it"
                 limit.reschedule(now)
--- a/walnutquay/coordination/requests/paths.py
+++ b/walnutquay/coordination/requests/paths.py
@@ -210,7 +210,7 @@
             return Unknown(stage.unknown(), refusal.reason, code, status)
         return Unknown(
             stage.unknown(),
-            f"an endpoint failed, and no other was available: {refusal.reason}",
+            f"an endpoint failed, and no other could be had: {refusal.reason}",
             retry_after=refusal.retry_after,
         )
 
--- a/walnutquay/coordination/trials/exchange.py
+++ b/walnutquay/coordination/trials/exchange.py
@@ -289,7 +289,7 @@
                 report = task.trial.report(monotonic(), whole=True)
                 baseline_rows = self.baseline.all_rows(order.service)
                 return TrialNews(replace(report, usual=baseline_rows))
-        return Failure(f"this VM knows no trial of version {request.version}")
+        return Failure(f"no trial of {request.version} is known here")
 
     async def catch_up(self, task: TrialTask) -> None:
         """Request the state of a trial that began without this VM.
