--- a/walnutquay/coordination/own/planning.py
+++ b/walnutquay/coordination/own/planning.py
@@ -88,7 +88,7 @@
             session = SessionId(arrival.session)
             stored = await self.pins.find(organisation, session)
             return stored or Pin(session, organisation), True
-        return Pin(self.context.new_session(), organisation), False
+        return Pin(self.context.new_session_id(), organisation), False
 
     def _plan_for(self, arrival: ChatArrival, pin: Pin) -> Result[Plan, Refusal]:
         current = self.parts.configurations.current
--- a/walnutquay/coordination/store/knowledge.py
+++ b/walnutquay/coordination/store/knowledge.py
@@ -135,7 +135,7 @@
     def follow(self) -> None:
         """Start to follow each kind."""
         for follower in self.followers():
-            self.tasks.forever(follower.feed.kind, follower.run)
+            self.tasks.spawn_loop(follower.feed.kind, follower.run)
 
     def _on_wake(self, seconds: float) -> None:
         """Confirm all state, which has not been updated while this VM was suspended.
--- a/walnutquay/state/own/learning.py
+++ b/walnutquay/state/own/learning.py
@@ -16,7 +16,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from walnutquay.state.process.counts import LatestTable, RecentCounts
+from walnutquay.state.process.counts import LruTable, RecentCounts
 from walnutquay.state.store.parts import Version
 
 # A step is not skipped until its version has at least this many ratings.
@@ -64,10 +64,10 @@
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         # How many answers of each version reached and missed the required quality.
-        self.quality_counts: LatestTable[QualityKey, RecentCounts] = LatestTable(
+        self.quality_counts: LruTable[QualityKey, RecentCounts] = LruTable(
             MAX_ENTRIES, lambda: RecentCounts(MAX_COUNTED_RATINGS)
         )
-        self.tokens: LatestTable[str, _Tokens] = LatestTable(MAX_ENTRIES, _Tokens)
+        self.tokens: LruTable[str, _Tokens] = LruTable(MAX_ENTRIES, _Tokens)
 
     def record_ratings(self, key: QualityKey, reached: int, missed: int) -> None:
         """Record ratings made by this VM or another.
