--- a/lab/capacity/processortime.py
+++ b/lab/capacity/processortime.py
@@ -227,12 +227,12 @@
 def log_steps() -> Iterator[tuple[str, Step]]:
     """:returns: what a request's lines take."""
     event_log = EventLog(Metrics())
-    event_log.left = 1e12
+    event_log.tokens = 1e12
     vm = CostVm(3, 3, event_log)
 
     async def line() -> None:
         # Without bound: each line is written.
-        event_log.left = 1000.0
+        event_log.tokens = 1000.0
         vm.context.timeline.emit(
             EventKind.DISPATCHED,
             request="req-1",
--- a/tests/coordination/own/test_billing.py
+++ b/tests/coordination/own/test_billing.py
@@ -141,7 +141,7 @@
 
     def start_copying(self) -> None:
         """Start the owner's copy task without its flush timers."""
-        self.owner.tasks.forever("bill-copy", self.owner._copy_forever)
+        self.owner.tasks.spawn_loop("bill-copy", self.owner._copy_forever)
         self.addCleanup(self.owner.stop)
 
     async def add(self, *requests: str) -> None:
--- a/tests/daemon/test_own_callers.py
+++ b/tests/daemon/test_own_callers.py
@@ -231,7 +231,7 @@
         )
         self.paths = OwnPaths()
         self.api = CallersApi(
-            SimpleNamespace(vm="vm-1", new_request=lambda: f"r{next(numbers)}"),
+            SimpleNamespace(vm="vm-1", new_request_id=lambda: f"r{next(numbers)}"),
             CallersSection(port=0),
             SimpleNamespace(ready=True, current=configuration),
             SimpleNamespace(serve=self.paths.chat),
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -210,7 +210,7 @@
             if seen is None:
                 stamp = clock.tick(physical)
             else:
-                stamp = clock.see(seen, physical)
+                stamp = clock.observe(seen, physical)
                 self.assertGreater(stamp, seen)
             self.assertGreater(stamp, last)
             last = stamp
--- a/tests/transport/test_lines.py
+++ b/tests/transport/test_lines.py
@@ -73,39 +73,39 @@
 
     def write(self, event: Event) -> None:
         """Take a line in place of the log."""
-        self.log.left = max(0.0, self.log.left - 1.0)
+        self.log.tokens = max(0.0, self.log.tokens - 1.0)
         self.written.append(event)
 
-    def take(self, kind: EventKind, request: str, now: float = 1.0) -> None:
+    def log_event(self, kind: EventKind, request: str, now: float = 1.0) -> None:
         """Log an event at a time."""
         stamp = Stamp(int(now * 1_000_000), 0)
-        self.log.take(Event(stamp, "vm", kind, request))
+        self.log.log_event(Event(stamp, "vm", kind, request))
 
     def test_few_lines_go_out_at_once(self):
-        self.take(EventKind.RECEIVED, "r1")
+        self.log_event(EventKind.RECEIVED, "r1")
         self.assertEqual(len(self.written), 1)
 
     def test_many_are_bounded_and_counted(self):
         count = 5 * int(LINES_PER_SECOND * BURST_SECONDS)
         for number in range(count):
-            self.take(EventKind.RECEIVED, f"r{number}")
-            self.take(EventKind.ANSWERED, f"r{number}")
+            self.log_event(EventKind.RECEIVED, f"r{number}")
+            self.log_event(EventKind.ANSWERED, f"r{number}")
         self.assertLessEqual(len(self.written), LINES_PER_SECOND * BURST_SECONDS + 1)
         left_out = self.metrics.counters["log_lines_left_out"]
         self.assertEqual(left_out + len(self.written), 2 * count)
 
     def test_a_request_that_fails_is_whole(self):
-        self.log.left = 0.0
+        self.log.tokens = 0.0
         self.log.filled_at = 1.0
         for kind in (EventKind.RECEIVED, EventKind.DISPATCHED, EventKind.FAILED):
-            self.take(kind, "r1")
+            self.log_event(kind, "r1")
         self.assertEqual(self.written, [])
-        self.take(EventKind.UNKNOWN, "r1")
+        self.log_event(EventKind.UNKNOWN, "r1")
         kinds = [event.kind.value for event in self.written]
         self.assertEqual(kinds, ["received", "dispatched", "failed", "outcome-unknown"])
 
     def test_what_changes_a_belief_is_always_logged(self):
-        self.log.left = 0.0
+        self.log.tokens = 0.0
         self.log.filled_at = 1.0
-        self.take(EventKind.BRAKED, "")
+        self.log_event(EventKind.BRAKED, "")
         self.assertEqual(len(self.written), 1)
--- a/walnutquay/coordination/fleet/absentees.py
+++ b/walnutquay/coordination/fleet/absentees.py
@@ -69,7 +69,7 @@
 
     def start(self) -> None:
         """Start the periodic checks."""
-        self.tasks.forever("absent VMs", self._keep_checking)
+        self.tasks.spawn_loop("absent VMs", self._keep_checking)
 
     def stop(self) -> None:
         """Stop the periodic checks."""
--- a/walnutquay/coordination/fleet/vmlist.py
+++ b/walnutquay/coordination/fleet/vmlist.py
@@ -99,7 +99,7 @@
 
     def start(self) -> None:
         """Add this VM to the list, and start reading the list periodically."""
-        self.tasks.forever("list of VMs", self._keep_updated)
+        self.tasks.spawn_loop("list of VMs", self._keep_updated)
         self.absence_monitor.start()
 
     async def stop(self) -> None:
--- a/walnutquay/coordination/own/billing.py
+++ b/walnutquay/coordination/own/billing.py
@@ -122,7 +122,7 @@
 
     def start(self) -> None:
         """Begin to copy, to flush, and to flush for dead peers."""
-        self.tasks.forever("bill-copy", self._copy_forever)
+        self.tasks.spawn_loop("bill-copy", self._copy_forever)
         self.context.timers.every("bill-flush", FLUSH_SECONDS, self.flush_when_due)
         self.context.timers.every("bill-keeper", FLUSH_SECONDS, self.check_keeper)
         self.context.timers.every("bill-adopt", ADOPT_SECONDS, self.flush_for_dead)
--- a/walnutquay/coordination/own/configurations.py
+++ b/walnutquay/coordination/own/configurations.py
@@ -94,7 +94,7 @@
         :param anti_entropy_seconds: seconds between two reads of the head by a
             VM that does not watch it.
         """
-        self.tasks.forever("follow-head", self._follow)
+        self.tasks.spawn_loop("follow-head", self._follow)
         timers = self.context.timers
         timers.every("anti-entropy", anti_entropy_seconds, self.read_head)
 
--- a/walnutquay/coordination/own/endpoints.py
+++ b/walnutquay/coordination/own/endpoints.py
@@ -14,7 +14,7 @@
 from walnutquay.coordination.own.members import ListedEndpoint, Members
 from walnutquay.coordination.process.context import Context
 from walnutquay.coordination.process.dispatcher import Dispatcher
-from walnutquay.coordination.process.strays import stray_teller
+from walnutquay.coordination.process.strays import stray_reporter
 from walnutquay.exceptions import EndpointError
 from walnutquay.protocol.messages import Envelope
 from walnutquay.protocol.ownmessages import EndpointLeaving
@@ -60,7 +60,7 @@
         self.configurations = configurations
         self.members = members
         self.session = aiohttp.ClientSession(
-            connector=KeptConnector(stray_teller(context))
+            connector=KeptConnector(stray_reporter(context))
         )
         # The versions that each endpoint last reported as loaded.
         self.loaded: dict[str, frozenset[str]] = {}
--- a/walnutquay/coordination/own/members.py
+++ b/walnutquay/coordination/own/members.py
@@ -12,7 +12,7 @@
 
 from walnutquay.coordination.process.context import Context
 from walnutquay.coordination.process.dispatcher import Dispatcher
-from walnutquay.coordination.process.strays import stray_teller
+from walnutquay.coordination.process.strays import stray_reporter
 from walnutquay.exceptions import EndpointError, PeerError
 from walnutquay.protocol.messages import Envelope, Message
 from walnutquay.protocol.ownmessages import Heartbeat
@@ -70,7 +70,7 @@
         self.counter = 0
         self.table = MemberTable(context.vm, context.rng)
         self.session = aiohttp.ClientSession(
-            connector=KeptConnector(stray_teller(context)),
+            connector=KeptConnector(stray_reporter(context)),
             headers={"User-Agent": context.vm},
         )
         self.list_read_at = float("-inf")
--- a/walnutquay/coordination/own/parts.py
+++ b/walnutquay/coordination/own/parts.py
@@ -29,7 +29,7 @@
 from walnutquay.coordination.process.context import Context, Timeline, new_incarnation
 from walnutquay.coordination.process.dispatcher import Dispatcher
 from walnutquay.coordination.process.eventlog import EventLog
-from walnutquay.coordination.process.strays import stray_teller
+from walnutquay.coordination.process.strays import stray_reporter
 from walnutquay.coordination.requests.crashes import CrashWatch
 from walnutquay.coordination.requests.crashrecord import CrashRecord
 from walnutquay.coordination.requests.recorder import TraceRecorder
@@ -66,7 +66,7 @@
         self.leaving = False
         vm = VmName(options.vm.name)
         metrics = Metrics()
-        event_log = EventLog(metrics).take if options.log.events else None
+        event_log = EventLog(metrics).log_event if options.log.events else None
         timeline = Timeline(vm, options.memory.events, event_log)
         hall = HallName(options.vm.hall)
         self.context = Context(
@@ -104,7 +104,7 @@
         """Make what deals with requests."""
         options = self.settings.options
         context = self.context
-        self.client = HttpClient(HEADER_REQUEST_ID, stray_teller(context))
+        self.client = HttpClient(HEADER_REQUEST_ID, stray_reporter(context))
         self.table = EndpointTable(context.hall, context.rng)
         self.endpoint_news = EndpointNews(
             context, self.table, self.configurations, self.members, self.dispatcher
--- a/walnutquay/coordination/own/planning.py
+++ b/walnutquay/coordination/own/planning.py
@@ -87,7 +87,7 @@
             session = SessionId(arrival.session)
             kept = await self.pins.find(organisation, session)
             return kept or Pin(session, organisation), True
-        return Pin(self.context.new_session(), organisation), False
+        return Pin(self.context.new_session_id(), organisation), False
 
     def _plan_for(self, arrival: ChatArrival, pin: Pin) -> Result[Plan, Refusal]:
         current = self.parts.configurations.current
--- a/walnutquay/coordination/own/platform.py
+++ b/walnutquay/coordination/own/platform.py
@@ -14,7 +14,7 @@
 from urllib.parse import urlsplit
 
 from walnutquay.coordination.process.context import Context
-from walnutquay.coordination.process.strays import stray_teller
+from walnutquay.coordination.process.strays import stray_reporter
 from walnutquay.exceptions import (
     MissingObjectError,
     PlatformBusyError,
@@ -79,7 +79,7 @@
             urlsplit(section.url).netloc,
             caller=context.vm,
             call_seconds=section.timeout_seconds,
-            on_stray=stray_teller(context),
+            on_stray=stray_reporter(context),
         )
         self.values = ValueStore(self.client)
         # Whether the last call was answered, and since when that is so.
--- a/walnutquay/coordination/own/rollouts.py
+++ b/walnutquay/coordination/own/rollouts.py
@@ -13,7 +13,7 @@
 from walnutquay.coordination.own.health import VersionHealth
 from walnutquay.coordination.own.leases import Lease
 from walnutquay.coordination.process.context import Context
-from walnutquay.coordination.process.strays import stray_teller
+from walnutquay.coordination.process.strays import stray_reporter
 from walnutquay.exceptions import ConfigurationError, WalnutquayError
 from walnutquay.state.own.configuration import Content
 from walnutquay.state.own.rollouts import Order, OrderAction, change_rollout, orders_for
@@ -59,7 +59,7 @@
         self.health = health
         self.lease = lease
         self.session = aiohttp.ClientSession(
-            connector=KeptConnector(stray_teller(context))
+            connector=KeptConnector(stray_reporter(context))
         )
 
     def start(self) -> None:
--- a/walnutquay/coordination/process/context.py
+++ b/walnutquay/coordination/process/context.py
@@ -112,10 +112,10 @@
     rng: random.Random = field(default_factory=random.Random)
     region: str = ""
 
-    def new_request(self) -> RequestId:
+    def new_request_id(self) -> RequestId:
         """:returns: an id that no other request has."""
         return RequestId(f"req-{secrets.token_hex(RANDOM_BYTES + 4)}")
 
-    def new_session(self) -> SessionId:
+    def new_session_id(self) -> SessionId:
         """:returns: an id that no other session has."""
         return SessionId(f"ses-{secrets.token_hex(RANDOM_BYTES)}")
--- a/walnutquay/coordination/process/eventlog.py
+++ b/walnutquay/coordination/process/eventlog.py
@@ -49,12 +49,12 @@
 
     def __init__(self, metrics: Metrics) -> None:
         self.metrics = metrics
-        self.left = LINES_PER_SECOND * BURST_SECONDS
+        self.tokens = LINES_PER_SECOND * BURST_SECONDS
         self.filled_at = 0.0
         # Lines that wait for their request's end, by request.
         self.held: OrderedDict[str, list[Event]] = OrderedDict()
 
-    def take(self, event: Event) -> None:
+    def log_event(self, event: Event) -> None:
         """Log an event, now, later or never.
 
         :param event: the event.
@@ -71,7 +71,7 @@
         if event.kind in WELL_ENDED and event.request in self.held:
             self._leave_out(len(self.held.pop(event.request)) + 1)
             return
-        if self.left >= 1.0 and event.request not in self.held:
+        if self.tokens >= 1.0 and event.request not in self.held:
             self._write(event)
             return
         self._hold(event)
@@ -80,7 +80,7 @@
         passed = max(0.0, now - self.filled_at)
         self.filled_at = now
         most = LINES_PER_SECOND * BURST_SECONDS
-        self.left = min(most, self.left + passed * LINES_PER_SECOND)
+        self.tokens = min(most, self.tokens + passed * LINES_PER_SECOND)
 
     def _hold(self, event: Event) -> None:
         lines = self.held.setdefault(event.request, [])
@@ -96,5 +96,5 @@
         self.metrics.count("log_lines_left_out", count)
 
     def _write(self, event: Event) -> None:
-        self.left = max(0.0, self.left - 1.0)
+        self.tokens = max(0.0, self.tokens - 1.0)
         log.info("{}", event.kind.value, extra=event.plain())
--- a/walnutquay/coordination/process/strays.py
+++ b/walnutquay/coordination/process/strays.py
@@ -9,7 +9,7 @@
 from walnutquay.transport.connections import OnStray, Stray
 
 
-def stray_teller(context: Context) -> OnStray:
+def stray_reporter(context: Context) -> OnStray:
     """:param context: what this process shares.
 
     :returns: what counts such bytes, and writes a line for each occurrence.
--- a/walnutquay/coordination/process/tasks.py
+++ b/walnutquay/coordination/process/tasks.py
@@ -30,7 +30,7 @@
         task.add_done_callback(self._ended)
         return task
 
-    def forever(self, name: str, function: Callable[[], Awaitable[None]]) -> None:
+    def spawn_loop(self, name: str, function: Callable[[], Awaitable[None]]) -> None:
         """Run a loop that begins again after an error that nobody foresaw.
 
         :param name: what it is, for the log.
--- a/walnutquay/coordination/requests/crashrecord.py
+++ b/walnutquay/coordination/requests/crashrecord.py
@@ -80,7 +80,7 @@
             traces from another VM needs no call to the store.
         """
         self.tasks.spawn(self._read_if_needed(needs_read))
-        self.tasks.forever("crash record", self._write_when_due)
+        self.tasks.spawn_loop("crash record", self._write_when_due)
 
     def stop(self) -> None:
         """Stop reading and writing."""
--- a/walnutquay/coordination/store/knowledge.py
+++ b/walnutquay/coordination/store/knowledge.py
@@ -135,7 +135,7 @@
     def follow(self) -> None:
         """Hear of changes from now on."""
         for follower in self.followers():
-            self.tasks.forever(follower.feed.kind, follower.run)
+            self.tasks.spawn_loop(follower.feed.kind, follower.run)
 
     def _woke(self, seconds: float) -> None:
         """Have all that is known confirmed: it is as old as this VM was away.
--- a/walnutquay/coordination/trials/evaluation.py
+++ b/walnutquay/coordination/trials/evaluation.py
@@ -9,7 +9,7 @@
 
 from walnutquay.coordination.requests.slots import Grant
 from walnutquay.coordination.routed.turn import RoutedTurn
-from walnutquay.state.process.counts import LatestTable
+from walnutquay.state.process.counts import LruTable
 from walnutquay.state.process.ids import EndpointName, RequestId, ServiceName
 from walnutquay.state.store.instances import Instance
 from walnutquay.state.trials.baseline import BaselineTimes
@@ -70,7 +70,7 @@
         # The requests in progress for services with a version on trial.
         self.running: dict[RequestId, RunningRequest] = {}
         # When each endpoint last began an answer; monotonic seconds.
-        self.last_answer_began: LatestTable[EndpointName, float] = LatestTable(
+        self.last_answer_began: LruTable[EndpointName, float] = LruTable(
             MAX_ENDPOINTS, float
         )
 
--- a/walnutquay/coordination/trials/versions.py
+++ b/walnutquay/coordination/trials/versions.py
@@ -24,7 +24,7 @@
 from walnutquay.coordination.trials.task import FIRST_WRITE_SPREAD, TrialTask
 from walnutquay.exceptions import PlatformConflictError, PlatformError
 from walnutquay.settings import PromisesSection
-from walnutquay.state.process.counts import LatestTable
+from walnutquay.state.process.counts import LruTable
 from walnutquay.state.process.events import EventKind
 from walnutquay.state.process.ids import ServiceName, VersionName
 from walnutquay.state.store.orders import OrderState, RolloutOrder
@@ -82,7 +82,7 @@
         self.tasks: dict[ServiceName, TrialTask] = {}
         self.settled = SettledVersions()
         # Orders that other VMs announced before this one had read them.
-        self.announced_orders: LatestTable[tuple[str, str], bool] = LatestTable(
+        self.announced_orders: LruTable[tuple[str, str], bool] = LruTable(
             MAX_ANNOUNCED_ORDERS, bool
         )
         self.evaluator = AnswerEvaluator(self.trial_of, self._reject_if_bad)
--- a/walnutquay/daemon/callers.py
+++ b/walnutquay/daemon/callers.py
@@ -249,7 +249,7 @@
         if not token and "cookie" in request.headers:
             token = request.cookies.get(chat.COOKIE_TOKEN, "") or ""
         return ChatArrival(
-            self.context.new_request(),
+            self.context.new_request_id(),
             organisation,
             request.body,
             self._deadline(request),
@@ -282,7 +282,7 @@
         if not path.startswith("/"):
             path = "/" + path
         return ServiceArrival(
-            self.context.new_request(),
+            self.context.new_request_id(),
             organisation,
             request.body,
             self._deadline(request),
--- a/walnutquay/daemon/gateway.py
+++ b/walnutquay/daemon/gateway.py
@@ -20,7 +20,7 @@
 from walnutquay.coordination.process.context import Context, Timeline, new_incarnation
 from walnutquay.coordination.process.dispatcher import Dispatcher
 from walnutquay.coordination.process.eventlog import EventLog
-from walnutquay.coordination.process.strays import stray_teller
+from walnutquay.coordination.process.strays import stray_reporter
 from walnutquay.coordination.requests.crashes import CrashWatch
 from walnutquay.coordination.requests.crashrecord import CrashRecord
 from walnutquay.coordination.requests.pathparts import PathParts
@@ -104,12 +104,12 @@
         vm = VmName(options.vm.name)
         hall = HallName(options.vm.hall)
         metrics = Metrics()
-        event_log = EventLog(metrics).take if options.log.events else None
+        event_log = EventLog(metrics).log_event if options.log.events else None
         timeline = Timeline(vm, options.memory.events, event_log)
         self.context = Context(
             vm, hall, new_incarnation(), timeline, metrics, region=options.vm.region
         )
-        on_stray = stray_teller(self.context)
+        on_stray = stray_reporter(self.context)
         self.store = StoreClient(
             options.store.address, count=metrics.count, on_stray=on_stray
         )
--- a/walnutquay/daemon/gatewayapi.py
+++ b/walnutquay/daemon/gatewayapi.py
@@ -159,7 +159,7 @@
         if head.seconds_left is not None:
             left = min(left, head.seconds_left)
         return RoutedArrival(
-            head.request or self.context.new_request(),
+            head.request or self.context.new_request_id(),
             organisation,
             body,
             arrived_at + left,
--- a/walnutquay/state/own/learning.py
+++ b/walnutquay/state/own/learning.py
@@ -15,7 +15,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from walnutquay.state.process.counts import LatestTable, RecentCounts
+from walnutquay.state.process.counts import LruTable, RecentCounts
 from walnutquay.state.store.parts import Version
 
 # No step is left out before its version has been rated so often.
@@ -63,10 +63,10 @@
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         # How often each version's answers had the quality that was asked for.
-        self.worths: LatestTable[WorthKey, RecentCounts] = LatestTable(
+        self.worths: LruTable[WorthKey, RecentCounts] = LruTable(
             MAX_LEARNT, lambda: RecentCounts(MAX_WEIGHT)
         )
-        self.tokens: LatestTable[str, _Tokens] = LatestTable(MAX_LEARNT, _Tokens)
+        self.tokens: LruTable[str, _Tokens] = LruTable(MAX_LEARNT, _Tokens)
 
     def take(self, key: WorthKey, reached: int, missed: int) -> None:
         """Take in ratings, of this VM or of others.
@@ -75,7 +75,7 @@
         :param reached: how many reached the quality that is asked for.
         :param missed: how many did not.
         """
-        self.worths.touch(key).take(reached, missed)
+        self.worths.touch(key).record(reached, missed)
 
     def take_tokens(self, request_class: str, inputs: int, outputs: int) -> None:
         """Take in how large a request of a class was.
--- a/walnutquay/state/own/sequential.py
+++ b/walnutquay/state/own/sequential.py
@@ -110,7 +110,7 @@
         """
         self.baseline_good += good
         self.baseline_bad += bad
-        self.baseline.take(good, bad)
+        self.baseline.record(good, bad)
 
     def baseline_share(self) -> float:
         """Return the share of bad outcomes that is expected of a good version."""
@@ -126,7 +126,7 @@
         """
         self.good += good
         self.bad += bad
-        self.tested.take(good, bad)
+        self.tested.record(good, bad)
         good_share = min(self.baseline_share(), MAX_SHARE - self.hypotheses.excess)
         bad_share = good_share + self.hypotheses.excess
         self.score += bad * math.log(bad_share / good_share)
--- a/walnutquay/state/process/clock.py
+++ b/walnutquay/state/process/clock.py
@@ -38,7 +38,7 @@
             self.last = Stamp(self.last.physical, self.last.logical + 1)
         return self.last
 
-    def see(self, other: Stamp, physical: int) -> Stamp:
+    def observe(self, other: Stamp, physical: int) -> Stamp:
         """Take in another process's stamp.
 
         :param other: the stamp of its message.
--- a/walnutquay/state/process/counts.py
+++ b/walnutquay/state/process/counts.py
@@ -31,7 +31,7 @@
         """How many outcomes they stand for."""
         return self.good + self.bad
 
-    def take(self, good: int, bad: int) -> None:
+    def record(self, good: int, bad: int) -> None:
         """:param good: good outcomes.
 
         :param bad: bad ones.
@@ -44,7 +44,7 @@
             self.bad *= share
 
 
-class LatestTable(Generic[Key, Value]):
+class LruTable(Generic[Key, Value]):
     """A table of bounded size, in which what was used longest ago gives way.
 
     Callers name many of our keys, so no table of theirs may grow without end.
--- a/walnutquay/state/requests/durations.py
+++ b/walnutquay/state/requests/durations.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass
 
-from walnutquay.state.process.counts import LatestTable
+from walnutquay.state.process.counts import LruTable
 
 # An answer is slow if it takes more than this many times the baseline duration.
 SLOW_FACTOR = 2.0
@@ -29,9 +29,7 @@
     """The baseline duration of each class, measured on a trusted version."""
 
     def __init__(self) -> None:
-        self.means: LatestTable[str, _MeanDuration] = LatestTable(
-            MAX_CLASSES, _MeanDuration
-        )
+        self.means: LruTable[str, _MeanDuration] = LruTable(MAX_CLASSES, _MeanDuration)
 
     def learn(self, request_class: str, seconds: float) -> None:
         """Update the baseline of a class with one answer.
--- a/walnutquay/state/routed/work.py
+++ b/walnutquay/state/routed/work.py
@@ -16,7 +16,7 @@
 
 import xxhash
 
-from walnutquay.state.process.counts import LatestTable
+from walnutquay.state.process.counts import LruTable
 from walnutquay.state.process.ids import EndpointName
 
 # Reading rates are measured only on prompts of at least this size, because their time
@@ -79,8 +79,8 @@
         self.rates: dict[str, float] = {}
         self.rate_samples: dict[str, deque[float]] = {}
         # The time at which each prefix was last sent to each engine.
-        self.last_sent: LatestTable[tuple[EndpointName, str], list[float]] = (
-            LatestTable(MAX_PREFIXES, list)
+        self.last_sent: LruTable[tuple[EndpointName, str], list[float]] = LruTable(
+            MAX_PREFIXES, list
         )
 
     def rate(self, model: str) -> float:
--- a/walnutquay/state/trials/baseline.py
+++ b/walnutquay/state/trials/baseline.py
@@ -13,7 +13,7 @@
 
 import xxhash
 
-from walnutquay.state.process.counts import LatestTable
+from walnutquay.state.process.counts import LruTable
 from walnutquay.state.process.ids import HallName, ServiceName, VmName
 from walnutquay.state.requests.durations import MIN_SAMPLES, DurationTable
 
@@ -52,7 +52,7 @@
     """Baseline times measured by this VM and received from others."""
 
     def __init__(self) -> None:
-        self.own: LatestTable[ServiceName, DurationTable] = LatestTable(
+        self.own: LruTable[ServiceName, DurationTable] = LruTable(
             MAX_SERVICES, DurationTable
         )
         # The latest times from each other VM and each other data hall, by kind.
--- a/walnutquay/state/trials/sessionrecords.py
+++ b/walnutquay/state/trials/sessionrecords.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from walnutquay.state.process.counts import LatestTable
+from walnutquay.state.process.counts import LruTable
 from walnutquay.state.process.ids import ServiceName, VersionName
 
 # The most sessions that are recorded; there has to be a limit, as callers choose the
@@ -70,7 +70,7 @@
 
     def __init__(self, keep_seconds: float) -> None:
         self.keep_seconds = keep_seconds
-        self.table: LatestTable[SessionKey, SessionRecord] = LatestTable(
+        self.table: LruTable[SessionKey, SessionRecord] = LruTable(
             MAX_SESSIONS, SessionRecord
         )
 
--- a/walnutquay/transport/peers.py
+++ b/walnutquay/transport/peers.py
@@ -294,7 +294,7 @@
             raise MessageError(f"a frame of {length} bytes is too long", step="read")
         self.metrics.count("peer_bytes_in", length)
         envelope = self.codec.decode(await reader.readexactly(length))
-        self.clock.see(envelope.stamp, unix_microseconds())
+        self.clock.observe(envelope.stamp, unix_microseconds())
         return envelope
 
     def datagram(self, data: bytes) -> None:
@@ -311,7 +311,7 @@
         if abs(now - envelope.stamp.physical) > MAX_AGE_MICROSECONDS:
             self.metrics.count("peer_stale")
             return
-        self.clock.see(envelope.stamp, now)
+        self.clock.observe(envelope.stamp, now)
         self.metrics.count("peer_datagrams_in")
         self.metrics.count("peer_bytes_in", len(data))
         self._spawn(self._handle(envelope))
