--- a/tests/state/process/__init__.py
+++ b/tests/state/process/__init__.py
@@ -1,3 +1,3 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Tests of what every decision shares."""
+"""Tests of the types that all decisions share."""
--- a/tests/state/process/test_events.py
+++ b/tests/state/process/test_events.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The ring of events, and what is selected from it."""
+"""Tests of the ring buffer of events and of the selection of events from it."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 def event(number: int, request: str = "", session: str = "") -> Event:
-    """:returns: an event."""
+    """Return an event whose physical time is ``number``."""
     return Event(Stamp(number, 0), "vm", EventKind.RECEIVED, request, session)
 
 
 class EventRingTest(unittest.TestCase):
-    """The newest events, by request or session."""
+    """The ring buffer, which selects the newest events by request or session."""
 
     def setUp(self):
         self.ring = EventRing(5)
@@ -30,16 +30,16 @@
         ):
             self.ring.add(item)
 
-    def numbers(self, **wanted: str) -> list[int]:
-        """:returns: the numbers of the events selected."""
-        return [found.stamp.physical for found in self.ring.select(**wanted)]
+    def numbers(self, **criteria: str) -> list[int]:
+        """Return the numbers of the events that match the criteria."""
+        return [found.stamp.physical for found in self.ring.select(**criteria)]
 
-    def test_only_the_newest_are_kept(self):
+    def test_keeps_only_the_newest_events(self):
         self.assertEqual(self.numbers(), [1, 2, 3, 4, 5])
 
-    def test_a_request(self):
+    def test_selects_the_events_of_a_request(self):
         self.assertEqual(self.numbers(request="r2"), [3])
         self.assertEqual(self.numbers(request="r0"), [])
 
-    def test_a_session_is_all_events_of_its_requests(self):
+    def test_selects_all_events_of_the_requests_of_a_session(self):
         self.assertEqual(self.numbers(session="s"), [1, 2, 5])
--- a/walnutquay/coordination/process/__init__.py
+++ b/walnutquay/coordination/process/__init__.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What all parts of one process share: its name, clock, timers, log and tasks.
+"""The objects that all parts of a process share: name, clock, timers, log and tasks.
 
-It hears nothing and tells only the log.
+This package receives no messages and writes only to the log.
 """
--- a/walnutquay/coordination/process/context.py
+++ b/walnutquay/coordination/process/context.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What all parts of one process share: its name, its clock, its time line."""
+"""The state shared by all parts of a process: its name, clock and time line."""
 
 from __future__ import annotations
 
@@ -26,21 +26,21 @@
 
 
 def new_incarnation() -> Incarnation:
-    """:returns: a name for this start of the process.
+    """Return a new identifier for this start of the process.
 
-    It begins with the time, so that a later start's name sorts behind, and ends
-    at random, so that two never meet.
+    It begins with the time, so that the identifier of a later start sorts after
+    it, and ends in random digits, so that no two starts have the same identifier.
     """
     start = unix_microseconds()
     return Incarnation(f"{start:0{INCARNATION_DIGITS}x}-{secrets.token_hex(4)}")
 
 
 class Timeline:
-    """Emits the events of this process.
+    """The time line of this process, which records its events.
 
-    :param vm: this VM's name.
-    :param size: events to keep.
-    :param log: logs each event too; None logs none.
+    :param vm: the name of this VM.
+    :param size: the number of events to keep.
+    :param log: a function that also logs each event, or None to log none.
     """
 
     def __init__(
@@ -62,15 +62,16 @@
         detail: str = "",
         **facts: Fact,
     ) -> None:
-        """Add an event.
+        """Record an event, and log it if there is a log function.
 
         :param kind: what happened.
-        :param request: the request's id.
-        :param session: the session's id.
+        :param request: the id of the request.
+        :param session: the id of the session.
         :param version: the version or service.
         :param endpoint: the endpoint or peer.
-        :param detail: more, in words.
-        :param facts: what decided it, by name; ``docs/logs.md`` lists the names.
+        :param detail: further details as text.
+        :param facts: the values that explain the event, by name;
+            ``docs/OPERATIONS.md`` lists the names.
         """
         stamp = self.clock.tick(unix_microseconds())
         event = Event(
@@ -91,16 +92,16 @@
 
 @dataclass
 class Context:
-    """What all parts of one process share.
-
-    :param vm: this VM's name.
-    :param hall: its data hall.
-    :param incarnation: this start of its process.
-    :param timeline: its events.
-    :param metrics: its metrics.
-    :param timers: its timer service.
-    :param rng: its source of chance.
-    :param region: the region of its data hall.
+    """The state shared by all parts of a process.
+
+    :param vm: the name of this VM.
+    :param hall: the data hall of this VM.
+    :param incarnation: the identifier of this start of the process.
+    :param timeline: the events of the process.
+    :param metrics: the metrics of the process.
+    :param timers: the timer service of the process.
+    :param rng: the random number generator of the process.
+    :param region: the region of the data hall.
     """
 
     vm: VmName
@@ -113,9 +114,9 @@
     region: str = ""
 
     def new_request_id(self) -> RequestId:
-        """:returns: an id that no other request has."""
+        """Return a unique id for a request."""
         return RequestId(f"req-{secrets.token_hex(RANDOM_BYTES + 4)}")
 
     def new_session_id(self) -> SessionId:
-        """:returns: an id that no other session has."""
+        """Return a unique id for a session."""
         return SessionId(f"ses-{secrets.token_hex(RANDOM_BYTES)}")
--- a/walnutquay/coordination/process/dispatcher.py
+++ b/walnutquay/coordination/process/dispatcher.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Hands the messages of peers to the parts that want them."""
+"""Dispatch of peer messages to the parts that receive them."""
 
 from __future__ import annotations
 
@@ -12,25 +12,28 @@
 
 
 class Dispatcher:
-    """Knows which part takes which kind of message."""
+    """A registry of the receiver for each kind of message."""
 
     def __init__(self) -> None:
         self.receivers: dict[type[Message], Receiver] = {}
-        # Told of each message, whatever its kind, before it is taken.
+        # Called with each message of any kind, before its receiver.
         self.listeners: list[Callable[[Envelope], None]] = []
 
     def on(self, kind: type[Message], receiver: Receiver) -> None:
-        """Subscribe to a kind of message.
+        """Register the receiver for a kind of message.
 
-        :param kind: the message's class.
-        :param receiver: takes each envelope; what it returns is the answer.
+        :param kind: the class of the messages.
+        :param receiver: a function that is called with each envelope and returns
+            the answer, or None to send none.
         """
         self.receivers[kind] = receiver
 
     async def deliver(self, envelope: Envelope) -> Message | None:
-        """:param envelope: a message that came.
+        """Pass a message to the listeners and to its receiver.
 
-        :returns: the answer, if there is one.
+        :param envelope: the message received.
+        :returns: the answer of the receiver, or None if it has none; a ``Failure``
+            if no receiver is registered for this kind of message.
         """
         for listener in self.listeners:
             listener(envelope)
--- a/walnutquay/coordination/process/eventlog.py
+++ b/walnutquay/coordination/process/eventlog.py
@@ -1,10 +1,10 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Bounds how many events are logged, and keeps failed requests whole.
+"""Rate limiting of the event log that keeps all events of failed requests.
 
-Each event is logged at once while no more come than the limit.  Beyond it, the
-events of a request wait until it has ended: one that failed or was answered late is
-logged whole, of one that went well the lines are only counted.
+Each event is logged at once while the rate is within the limit.  Beyond it, the
+events of a request are held back until the request has ended.  If it failed or was
+answered late, all of them are logged; if it succeeded, they are only counted.
 """
 
 from __future__ import annotations
@@ -18,44 +18,46 @@
 
 log = logbook.Logger("walnutquay.events")
 
-# Lines a second that are logged at once: five times the 42 to 63 that VMs were
-# seen to write without faults.  What 300 cost in processor time was not measured.
+# Limit of the lines per second that are logged at once: about five times the 42 to
+# 63 lines per second that VMs wrote in runs without faults.  The processor time
+# that 300 lines per second take has not been measured.
 LINES_PER_SECOND = 300.0
-# Lines that may be saved up for a burst, in seconds of the rate.
+# Capacity of the token bucket, in seconds at the rate above.
 BURST_SECONDS = 2.0
-# Requests whose lines wait for their end; the oldest give way, counted.
-MAX_HELD = 2_000
-MAX_HELD_LINES = 40
+# Maximum number of requests whose lines are held back.  Beyond it, the lines of the
+# oldest request are dropped and counted.
+MAX_HELD_REQUESTS = 2_000
+MAX_HELD_LINES_PER_REQUEST = 40
 
-WELL_ENDED = frozenset({EventKind.ANSWERED})
-BADLY_ENDED = frozenset(
+SUCCESS_KINDS = frozenset({EventKind.ANSWERED})
+FAILURE_KINDS = frozenset(
     {EventKind.REFUSED, EventKind.UNKNOWN, EventKind.CALLER_GONE, EventKind.BROKEN}
 )
 
 
 def is_late(event: Event) -> bool:
-    """:param event: an event.
+    """Return whether an event ends a request with a late answer.
 
-    :returns: whether it ends a request with an answer that came too late.
+    :param event: the event.
     """
-    return event.kind in WELL_ENDED and ("late", True) in event.facts
+    return event.kind in SUCCESS_KINDS and ("late", True) in event.facts
 
 
 class EventLog:
-    """Logs events, with a bound.
+    """A rate-limited log of events.
 
-    :param metrics: where lines that were left out are counted.
+    :param metrics: the metrics that count the lines not logged.
     """
 
     def __init__(self, metrics: Metrics) -> None:
         self.metrics = metrics
         self.tokens = LINES_PER_SECOND * BURST_SECONDS
         self.filled_at = 0.0
-        # Lines that wait for their request's end, by request.
+        # Events held back until their request has ended, by request id.
         self.held: OrderedDict[str, list[Event]] = OrderedDict()
 
     def log_event(self, event: Event) -> None:
-        """Log an event, now, later or never.
+        """Log an event at once, hold it back, or only count it.
 
         :param event: the event.
         """
@@ -63,13 +65,13 @@
         if not event.request:
             self._write(event)
             return
-        if event.kind in BADLY_ENDED or is_late(event):
+        if event.kind in FAILURE_KINDS or is_late(event):
             for earlier in self.held.pop(event.request, ()):
                 self._write(earlier)
             self._write(event)
             return
-        if event.kind in WELL_ENDED and event.request in self.held:
-            self._leave_out(len(self.held.pop(event.request)) + 1)
+        if event.kind in SUCCESS_KINDS and event.request in self.held:
+            self._count_dropped(len(self.held.pop(event.request)) + 1)
             return
         if self.tokens >= 1.0 and event.request not in self.held:
             self._write(event)
@@ -77,22 +79,22 @@
         self._hold(event)
 
     def _refill(self, now: float) -> None:
-        passed = max(0.0, now - self.filled_at)
+        elapsed = max(0.0, now - self.filled_at)
         self.filled_at = now
-        most = LINES_PER_SECOND * BURST_SECONDS
-        self.tokens = min(most, self.tokens + passed * LINES_PER_SECOND)
+        capacity = LINES_PER_SECOND * BURST_SECONDS
+        self.tokens = min(capacity, self.tokens + elapsed * LINES_PER_SECOND)
 
     def _hold(self, event: Event) -> None:
         lines = self.held.setdefault(event.request, [])
-        if len(lines) >= MAX_HELD_LINES:
-            self._leave_out(1)
+        if len(lines) >= MAX_HELD_LINES_PER_REQUEST:
+            self._count_dropped(1)
             return
         lines.append(event)
-        if len(self.held) > MAX_HELD:
+        if len(self.held) > MAX_HELD_REQUESTS:
             _, oldest = self.held.popitem(last=False)
-            self._leave_out(len(oldest))
+            self._count_dropped(len(oldest))
 
-    def _leave_out(self, count: int) -> None:
+    def _count_dropped(self, count: int) -> None:
         self.metrics.count("log_lines_left_out", count)
 
     def _write(self, event: Event) -> None:
--- a/walnutquay/coordination/process/strays.py
+++ b/walnutquay/coordination/process/strays.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Tells of bytes that endpoints sent and that belong to no request."""
+"""Reporting of bytes that endpoints sent and that belong to no request."""
 
 from __future__ import annotations
 
@@ -10,12 +10,14 @@
 
 
 def stray_reporter(context: Context) -> OnStray:
-    """:param context: what this process shares.
+    """Return a callback that reports bytes that belong to no request.
 
-    :returns: what counts such bytes, and writes a line for each occurrence.
+    The callback counts each occurrence and emits an event for it.
+
+    :param context: the state shared by this process.
     """
 
-    def tell(stray: Stray) -> None:
+    def report(stray: Stray) -> None:
         context.metrics.count(f"strays_{stray.kind.value}")
         context.timeline.emit(
             EventKind.STRAY,
@@ -26,4 +28,4 @@
             named=stray.named,
         )
 
-    return tell
+    return report
--- a/walnutquay/coordination/process/tasks.py
+++ b/walnutquay/coordination/process/tasks.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Tasks that a part owns: kept, ended with it, and never lost in silence."""
+"""Background tasks of a part, which are cancelled with it and log their errors."""
 
 from __future__ import annotations
 
@@ -15,43 +15,48 @@
 
 
 class Tasks:
-    """The tasks of one part."""
+    """The background tasks of a part."""
 
     def __init__(self) -> None:
         self.running: set[asyncio.Task] = set()
 
     def spawn(self, coroutine: Coroutine) -> asyncio.Task:
-        """Run something once, in the background.
+        """Run a coroutine once in the background.
 
-        :param coroutine: what to run.
+        :param coroutine: the coroutine to run.
+        :returns: its task.
         """
         task = asyncio.ensure_future(coroutine)
         self.running.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_done)
         return task
 
     def spawn_loop(self, name: str, function: Callable[[], Awaitable[None]]) -> None:
-        """Run a loop that begins again after an error that nobody foresaw.
+        """Run a loop in the background and restart it after an unexpected error.
 
-        :param name: what it is, for the log.
-        :param function: the loop.
+        :param name: the name of the loop in the log.
+        :param function: the loop; it is also called again if it returns.
         """
-        self.spawn(self._guard(name, function))
+        self.spawn(self._restart(name, function))
 
-    async def _guard(self, name: str, function: Callable[[], Awaitable[None]]) -> None:
+    async def _restart(
+        self, name: str, function: Callable[[], Awaitable[None]]
+    ) -> None:
         while True:
             try:
                 await function()
             except Exception:
-                log.exception("task {} failed and begins again", name)
+                log.exception("background task {} failed; restarting it", name)
             await asyncio.sleep(RESTART_SECONDS)
 
-    def _ended(self, task: asyncio.Task) -> None:
+    def _on_done(self, task: asyncio.Task) -> None:
         self.running.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            log.error("a background task failed: {!r}", task.exception())
+            log.error(
+                "background task failed and is not restarted: {!r}", task.exception()
+            )
 
     def stop(self) -> None:
-        """End all tasks."""
+        """Cancel all tasks."""
         for task in list(self.running):
             task.cancel()
--- a/walnutquay/state/process/__init__.py
+++ b/walnutquay/state/process/__init__.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What every decision shares: ids, clocks, counts that fade, events and metrics.
+"""Types that all decisions share: ids, clocks, decaying counts, events and metrics.
 
-Nothing is decided here.
+This package makes no decisions.
 """
--- a/walnutquay/state/process/clock.py
+++ b/walnutquay/state/process/clock.py
@@ -1,8 +1,8 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""A hybrid logical clock, which orders events over all processes.
+"""A hybrid logical clock, which orders the events of all processes.
 
-After Kulkarni and others, "Logical Physical Clocks" (OPODIS 2014).
+See Kulkarni et al., "Logical Physical Clocks" (OPODIS 2014).
 """
 
 from __future__ import annotations
@@ -12,25 +12,25 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Stamp:
-    """A moment: microseconds of Unix time, and a count within them."""
+    """A timestamp: Unix time in microseconds and a counter within a microsecond."""
 
     physical: int
     logical: int
 
 
 class HybridClock:
-    """Gives stamps that never go back and follow every stamp it has seen.
+    """A clock whose stamps increase and are later than every stamp observed.
 
-    Physical time is passed in, in microseconds of Unix time.
+    Callers pass the physical time as Unix time in microseconds.
     """
 
     def __init__(self) -> None:
         self.last = Stamp(0, 0)
 
     def tick(self, physical: int) -> Stamp:
-        """Stamp an event of this process.
+        """Return a stamp for an event of this process.
 
-        :param physical: the time now.
+        :param physical: the current time.
         """
         if physical > self.last.physical:
             self.last = Stamp(physical, 0)
@@ -39,10 +39,10 @@
         return self.last
 
     def observe(self, other: Stamp, physical: int) -> Stamp:
-        """Take in another process's stamp.
+        """Advance past the stamp of another process and return a new stamp.
 
-        :param other: the stamp of its message.
-        :param physical: the time now.
+        :param other: the stamp of a message from that process.
+        :param physical: the current time.
         """
         self.last = max(self.last, other)
         return self.tick(physical)
--- a/walnutquay/state/process/counts.py
+++ b/walnutquay/state/process/counts.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Counts and tables of which the late entries matter most."""
+"""Decaying counts, and tables that evict the least recently used entries."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 @dataclass(slots=True)
 class RecentCounts:
-    """Good and bad outcomes, of which late ones weigh more once there are many.
+    """Counts of good and bad outcomes; beyond a limit, recent ones weigh more.
 
-    :param limit: outcomes that they stand for at the most.
-    :param good: good ones.
-    :param bad: bad ones.
+    :param limit: the maximum total weight of the outcomes.
+    :param good: the weight of the good outcomes.
+    :param bad: the weight of the bad outcomes.
     """
 
     limit: float
@@ -28,29 +28,31 @@
 
     @property
     def seen(self) -> float:
-        """How many outcomes they stand for."""
+        """The total weight of the outcomes."""
         return self.good + self.bad
 
     def record(self, good: int, bad: int) -> None:
-        """:param good: good outcomes.
+        """Add outcomes, and scale all of them down if they exceed the limit.
 
-        :param bad: bad ones.
+        :param good: the number of good outcomes.
+        :param bad: the number of bad outcomes.
         """
         self.good += good
         self.bad += bad
         if self.seen > self.limit:
-            share = self.limit / self.seen
-            self.good *= share
-            self.bad *= share
+            factor = self.limit / self.seen
+            self.good *= factor
+            self.bad *= factor
 
 
 class LruTable(Generic[Key, Value]):
-    """A table of bounded size, in which what was used longest ago gives way.
+    """A table of bounded size that evicts the least recently used entry.
 
-    Callers name many of our keys, so no table of theirs may grow without end.
+    Callers choose many of the keys, so a table without a bound could grow without
+    limit.
 
-    :param limit: entries to keep.
-    :param make: makes the value of a new key.
+    :param limit: the maximum number of entries.
+    :param make: a function that returns the value for a new key.
     """
 
     def __init__(self, limit: int, make: Callable[[], Value]) -> None:
@@ -59,29 +61,33 @@
         self.entries: OrderedDict[Key, Value] = OrderedDict()
 
     def get(self, key: Key) -> Value | None:
-        """:param key: a key.
+        """Return the value of a key, or None, without marking the key as used.
 
-        :returns: its value, or None.
+        :param key: the key.
         """
         return self.entries.get(key)
 
     def set(self, key: Key, value: Value) -> None:
-        """:param key: a key that is used now.
+        """Set the value of a key and mark the key as used.
 
-        :param value: what stands for it from now on.
+        :param key: the key.
+        :param value: the new value.
         """
         self.touch(key)
         self.entries[key] = value
 
-    def drop(self, belongs: Callable[[Key], bool]) -> None:
-        """:param belongs: tells whether a key is to be forgotten."""
-        for key in [key for key in self.entries if belongs(key)]:
+    def drop(self, matches: Callable[[Key], bool]) -> None:
+        """Remove the entries whose keys match a predicate.
+
+        :param matches: a function that returns whether to remove a key.
+        """
+        for key in [key for key in self.entries if matches(key)]:
             del self.entries[key]
 
     def touch(self, key: Key) -> Value:
-        """:param key: a key that is used now.
+        """Mark a key as used and return its value, creating it if necessary.
 
-        :returns: its value, made where there was none.
+        :param key: the key.
         """
         value = self.entries.get(key)
         if value is None:
--- a/walnutquay/state/process/events.py
+++ b/walnutquay/state/process/events.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The events of the time line, and the ring that keeps the newest."""
+"""The events of the time line, and the ring buffer that keeps the newest."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 from walnutquay.state.process.clock import Stamp
 
-# A value of a log line.
+# A value in a log line.
 Fact = str | int | float | bool | None
-# Values of one line, by name.
+# The values in a log line, by name.
 Facts = dict[str, Fact]
 
 
 class EventKind(Enum):
-    """What can happen."""
+    """The kinds of events."""
 
     RECEIVED = "received"
     PLANNED = "planned"
@@ -73,17 +73,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One event of one VM.
+    """An event on a VM.
 
-    :param stamp: when, on the hybrid clock.
-    :param vm: where.
-    :param kind: what.
-    :param request: the request's id, if it concerns one.
-    :param session: the session's id, if it concerns one.
+    :param stamp: the time of the event on the hybrid logical clock.
+    :param vm: the name of the VM.
+    :param kind: what happened.
+    :param request: the id of the request that the event concerns, if any.
+    :param session: the id of the session that the event concerns, if any.
     :param version: the version or service.
     :param endpoint: the endpoint or peer.
-    :param detail: more, in words.
-    :param facts: what decided it, by name, with its age or version.
+    :param detail: further details as text.
+    :param facts: the values that explain the event, by name, with the age or version
+        of the state that they come from.
     """
 
     stamp: Stamp
@@ -97,7 +98,7 @@
     facts: tuple[tuple[str, Fact], ...] = ()
 
     def plain(self) -> dict[str, object]:
-        """:returns: the event for JSON."""
+        """Return the event as a dictionary that can be encoded as JSON."""
         return {
             "at": [self.stamp.physical, self.stamp.logical],
             "vm": self.vm,
@@ -112,27 +113,32 @@
 
 
 class EventRing:
-    """The newest events of one process.
+    """A ring buffer of the newest events of a process.
 
-    :param size: events to keep.
+    :param size: the number of events to keep.
     """
 
     def __init__(self, size: int) -> None:
         self.events: deque[Event] = deque(maxlen=size)
 
     def add(self, event: Event) -> None:
-        """:param event: the event to keep."""
+        """Add an event, which replaces the oldest if the buffer is full.
+
+        :param event: the event to add.
+        """
         self.events.append(event)
 
     def select(self, *, request: str = "", session: str = "") -> Iterator[Event]:
         """Yield the kept events, oldest first.
 
-        :param request: only events of this request.
-        :param session: only events of requests of this session.
+        Without a request or session, yield all kept events.
+
+        :param request: select the events of this request.
+        :param session: select the events of all requests of this session.
         """
         wanted = {request} if request else set()
         if session:
-            # Not every event of a request names its session.
+            # Some events of a request do not name its session.
             wanted |= {e.request for e in self.events if e.session == session}
             wanted.discard("")
         for event in self.events:
--- a/walnutquay/state/process/ids.py
+++ b/walnutquay/state/process/ids.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Identifiers and the states that things can be in."""
+"""Types of identifiers, and enumerations of states."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import NewType
 
 VmName = NewType("VmName", str)
-# One start of a VM: its name and its incarnation.
+# A process of a VM: the name of the VM and the incarnation.
 VmProcess = NewType("VmProcess", str)
 Incarnation = NewType("Incarnation", str)
 HallName = NewType("HallName", str)
@@ -25,27 +25,27 @@
 SessionId = NewType("SessionId", str)
 RequestId = NewType("RequestId", str)
 RouteName = NewType("RouteName", str)
-# The hash of what makes a request, in hexadecimal digits.
+# The hash of the content that identifies a request, in hexadecimal digits.
 Fingerprint = NewType("Fingerprint", str)
 Revision = NewType("Revision", int)
 
-# The revision of a VM that has no configuration yet.
+# The configuration revision of a VM that has not received a configuration yet.
 NO_REVISION = Revision(0)
 
 
 class VersionState(Enum):
-    """What a version may be used for."""
+    """The state of a version, which decides what it may be used for."""
 
-    # New sessions and the turns of old ones.
+    # For new sessions and for the turns of existing ones.
     ACTIVE = "active"
-    # The turns of old sessions only.
+    # Only for the turns of existing sessions.
     DRAINING = "draining"
-    # Nothing new at all.
+    # For no new sessions and no new turns.
     WITHDRAWN = "withdrawn"
 
 
 class RolloutState(Enum):
-    """Where a roll-out stands."""
+    """The state of a roll-out."""
 
     RUNNING = "running"
     PAUSED = "paused"
@@ -54,21 +54,21 @@
 
 
 class WorkKind(Enum):
-    """The kind of work that a pool does; the two never share a queue."""
+    """The kind of work that a pool does; the two kinds never share a queue."""
 
     PATIENT = "patient"
     QUICK = "quick"
 
 
 class OnWithdrawn(Enum):
-    """What an organisation wants when its session's version is withdrawn."""
+    """How to treat an organisation's session whose version is withdrawn."""
 
     REFUSE = "refuse"
     NEW_SESSION = "new-session"
 
 
 class MemberState(Enum):
-    """What a VM believes of another."""
+    """The state of a VM as seen by another."""
 
     ALIVE = "alive"
     LEAVING = "leaving"
@@ -76,7 +76,7 @@
 
 
 class LeavingSource(Enum):
-    """Who said that an endpoint is leaving."""
+    """The source of the information that an endpoint is leaving."""
 
     CONFIGURATION = "configuration"
     VM_LIST = "vm-list"
--- a/walnutquay/state/process/keys.py
+++ b/walnutquay/state/process/keys.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Keys that callers and operators present, and the hashes that we keep of them."""
+"""API keys of callers and operators, and the hashes that are stored of them."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 
 
 def bearer_key(header: str | None) -> str:
-    """:param header: an ``Authorization`` header.
+    """Extract the key from an ``Authorization`` header.
 
-    :returns: the key in it; empty if there is none.
+    :param header: the value of the header, or None if it is missing.
+    :returns: the key; empty if the header holds no bearer key.
     """
     if header is None or not header.lower().startswith(SCHEME):
         return ""
@@ -21,8 +22,8 @@
 
 
 def key_hash(key: str) -> str:
-    """:param key: a key or token.
+    """Return the hash of a key in the form used by settings and configuration.
 
-    :returns: its hash, in the form that settings and configuration hold.
+    :param key: the key or token.
     """
     return HASH_PREFIX + hashlib.sha256(key.encode()).hexdigest()
--- a/walnutquay/state/process/metrics.py
+++ b/walnutquay/state/process/metrics.py
@@ -8,7 +8,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-# Latencies are recorded in microseconds, from one to ten minutes' worth.
+# Range of the recorded latencies: 1 microsecond to 10 minutes, in microseconds.
 LOWEST = 1
 HIGHEST = 600_000_000
 SIGNIFICANT_DIGITS = 2
@@ -26,16 +26,16 @@
     def count(self, name: str, amount: int = 1) -> None:
         """Add to a counter.
 
-        :param name: the counter.
-        :param amount: how much.
+        :param name: the name of the counter.
+        :param amount: the amount to add.
         """
         self.counters[name] += amount
 
     def record(self, name: str, seconds: float) -> None:
-        """Record a duration.
+        """Record a duration in a histogram, clipped to the range of the histogram.
 
-        :param name: the histogram.
-        :param seconds: how long.
+        :param name: the name of the histogram.
+        :param seconds: the duration.
         """
         histogram = self.histograms.get(name)
         if histogram is None:
@@ -45,7 +45,7 @@
         histogram.record_value(min(max(value, LOWEST), HIGHEST))
 
     def plain(self) -> dict[str, object]:
-        """:returns: all metrics for JSON; durations in seconds."""
+        """Return all metrics as a dictionary for JSON, with durations in seconds."""
         return {
             "counters": dict(sorted(self.counters.items())),
             "seconds": {
@@ -56,12 +56,12 @@
 
 
 def summary(histogram: HdrHistogram) -> dict[str, float]:
-    """:param histogram: a histogram of microseconds.
+    """Return the count of a histogram and its percentiles in seconds.
 
-    :returns: count and percentiles, in seconds.
+    :param histogram: a histogram of durations in microseconds.
     """
-    found: dict[str, float] = {"count": histogram.get_total_count()}
+    values: dict[str, float] = {"count": histogram.get_total_count()}
     for percentile in PERCENTILES:
         value = histogram.get_value_at_percentile(percentile)
-        found[f"p{percentile:g}"] = value / MICROSECONDS
-    return found
+        values[f"p{percentile:g}"] = value / MICROSECONDS
+    return values
--- a/walnutquay/state/process/problems.py
+++ b/walnutquay/state/process/problems.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What is wrong in a file that was checked against a model."""
+"""Problems found when a file is validated against a model."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 @dataclass(frozen=True)
 class Problem:
-    """One thing that is wrong in a file.
+    """A problem in a file.
 
-    :param file: the file's name, or where the text came from.
+    :param file: the name of the file, or the source of the text.
     :param key: the dotted path of the key.
-    :param reason: what is wrong with it.
+    :param reason: why the value of the key is not valid.
     """
 
     file: str
@@ -29,7 +29,7 @@
 
 
 def _model_at(model: type[BaseModel], path: tuple[Any, ...]) -> type[BaseModel] | None:
-    """Find the model that a validation error's path leads to."""
+    """Return the model at the path of a validation error, or None."""
     current: Any = model
     for step in path:
         if isinstance(step, int):
@@ -44,7 +44,7 @@
 
 
 def _inner_model(annotation: Any) -> type[BaseModel] | None:
-    """Take the model out of ``tuple[Model, ...]`` and the like."""
+    """Return the model in an annotation such as ``tuple[Model, ...]``, or None."""
     if isinstance(annotation, type) and issubclass(annotation, BaseModel):
         return annotation
     for inner in getattr(annotation, "__args__", ()):
@@ -64,23 +64,24 @@
 def problems_of(
     error: ValidationError, file: str, model: type[BaseModel]
 ) -> list[Problem]:
-    """Say a validation error in terms of the file.
+    """Convert a validation error to a list of problems in the file.
 
-    :param error: what the library found.
-    :param file: the file that was checked.
-    :param model: the model it was checked against; an unknown key is answered
-        with the nearest name that the model has.
+    :param error: the validation error.
+    :param file: the name of the file.
+    :param model: the model that the file was validated against; for an unknown key,
+        the problem suggests the most similar field name of the model.
+    :returns: the problems.
     """
-    found = []
+    problems = []
     for detail in error.errors():
         path = detail["loc"]
         reason = detail["msg"]
         if detail["type"] == "extra_forbidden":
             reason = "unknown key"
-            holder = _model_at(model, path[:-1])
-            names = list(holder.model_fields) if holder else []
-            near = difflib.get_close_matches(str(path[-1]), names, n=1, cutoff=0.4)
-            if near:
-                reason += f"; did you mean {near[0]!r}?"
-        found.append(Problem(file, _dotted(path), reason))
-    return found
+            parent = _model_at(model, path[:-1])
+            names = list(parent.model_fields) if parent else []
+            similar = difflib.get_close_matches(str(path[-1]), names, n=1, cutoff=0.4)
+            if similar:
+                reason += f"; did you mean {similar[0]!r}?"
+        problems.append(Problem(file, _dotted(path), reason))
+    return problems
