--- a/walnutquay/coordination/process/tasks.py
+++ b/walnutquay/coordination/process/tasks.py
@@ -37,9 +37,9 @@
         :param name: the name of the loop in the log.
         :param function: the loop; it is also called again if it returns.
         """
-        self.spawn(self._restart(name, function))
+        self.spawn(self._run_loop(name, function))
 
-    async def _restart(
+    async def _run_loop(
         self, name: str, function: Callable[[], Awaitable[None]]
     ) -> None:
         while True:
