--- a/walnutquay/coordination/process/eventlog.py
+++ b/walnutquay/coordination/process/eventlog.py
@@ -4,7 +4,8 @@
 
 Each event is logged at once while the rate is within the limit.  Beyond it, the
 events of a request are held back until the request has ended.  If it failed or was
-answered late, all of them are logged; if it succeeded, they are only counted.
+answered late, the events held back are logged, up to the limits below; if it
+succeeded, they are only counted.
 """
 
 from __future__ import annotations
@@ -27,6 +28,7 @@
 # Maximum number of requests whose lines are held back.  Beyond it, the lines of the
 # oldest request are dropped and counted.
 MAX_HELD_REQUESTS = 2_000
+# Beyond this, further lines of the request are dropped and counted.
 MAX_HELD_LINES_PER_REQUEST = 40
 
 SUCCESS_KINDS = frozenset({EventKind.ANSWERED})
