--- a/walnutquay/coordination/process/eventlog.py
+++ b/walnutquay/coordination/process/eventlog.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Rate limiting of the event log that keeps all events of failed requests.
+"""Rate limiting of the event log that keeps the events of failed requests.
 
 Each event is logged at once while the rate is within the limit.  Beyond it, the
 events of a request are held back until the request has ended.  If it failed or was
