--- a/walnutquay/state/own/learning.py
+++ b/walnutquay/state/own/learning.py
@@ -76,7 +76,7 @@
         :param reached: number of answers that reached the required quality.
         :param missed: number of answers that did not.
         """
-        self.quality_counts.touch(key).take(reached, missed)
+        self.quality_counts.touch(key).record(reached, missed)
 
     def record_tokens(self, request_class: str, inputs: int, outputs: int) -> None:
         """Record the size of a request.
