--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -125,7 +125,7 @@
         assert answer is not None
         return answer
 
-    def tell_all(self, body: Message) -> None:
+    def broadcast(self, body: Message) -> None:
         """Nothing is told: all that it could bring about is less work."""
 
 
--- a/walnutquay/coordination/own/health.py
+++ b/walnutquay/coordination/own/health.py
@@ -9,7 +9,7 @@
 
 from walnutquay.coordination.own.configurations import Configurations
 from walnutquay.coordination.own.members import Members
-from walnutquay.coordination.own.tallies import Tallies
+from walnutquay.coordination.own.outcomecounts import OutcomeCounts
 from walnutquay.coordination.process.context import Context
 from walnutquay.coordination.process.dispatcher import Dispatcher
 from walnutquay.protocol.messages import Envelope
@@ -33,7 +33,7 @@
     :param configurations: the configuration, with the versions in roll-out.
     :param members: the VMs to which a rejection is broadcast.
     :param dispatcher: the dispatcher of messages from peers.
-    :param tallies: the outcome counts of all VMs.
+    :param outcome_counts: the outcome counts of all VMs.
     """
 
     def __init__(
@@ -42,11 +42,11 @@
         configurations: Configurations,
         members: Members,
         dispatcher: Dispatcher,
-        tallies: Tallies,
+        outcome_counts: OutcomeCounts,
     ) -> None:
         self.context = context
         self.members = members
-        self.tallies = tallies
+        self.outcome_counts = outcome_counts
         self.table = CircuitBreakerTable()
         self.duration_table = DurationTable()
         # The stage of each version in roll-out, and when it came into force on this VM;
@@ -54,7 +54,7 @@
         self.stage_since: dict[str, tuple[str, float]] = {}
         configurations.listeners.append(self.on_configuration)
         dispatcher.on(VersionBrake, self.on_peer)
-        tallies.listeners.append(self.on_outcome_counts)
+        outcome_counts.listeners.append(self.on_outcome_counts)
 
     def on_configuration(self, configuration: Configuration) -> None:
         """Set the stages to test, and remove the outcome counts of past stages.
@@ -77,7 +77,7 @@
             for version, stage in stages.items()
         }
         keys = {stage.key for stage in stages.values()}
-        self.tallies.board.forget(lambda subject: _is_over(subject, keys))
+        self.outcome_counts.count_table.forget(lambda subject: _is_over(subject, keys))
 
     def unchanged_for(self, version: str) -> float | None:
         """Return the time for which the stage of a version's roll-out is unchanged.
@@ -121,7 +121,7 @@
 
     def _count(self, stage: Stage, measure: Measure, version: str, good: bool) -> None:
         subject = SEPARATOR.join((TRIAL, stage.key, measure.value, version))
-        self.tallies.add(subject, good)
+        self.outcome_counts.add(subject, good)
 
     def on_outcome_counts(self, subject: str, good: int, bad: int) -> None:
         """Apply outcomes counted by any VM; reject the version on a bad verdict.
@@ -136,7 +136,7 @@
         if not self.table.record(stage, version, Measure(measure), good, bad):
             return
         self._log_rejection(version, f"bad verdict of the test of {measure} outcomes")
-        self.members.tell_all(VersionBrake(version))
+        self.members.broadcast(VersionBrake(version))
 
     def on_peer(self, envelope: Envelope) -> None:
         """Reject a version that a peer has rejected.
