--- a/lab/capacity/fakepeers.py
+++ b/lab/capacity/fakepeers.py
@@ -16,7 +16,10 @@
 import sys
 
 from standins.fleet import FLEET_KEY, HOST
-from walnutquay.coordination.own.tallies import LARGE_ROUNDS, TALLY_SECONDS
+from walnutquay.coordination.own.outcomecounts import (
+    LARGE_FLEET_ROUNDS,
+    OUTCOME_COUNTS_SECONDS,
+)
 from walnutquay.protocol import messages as m
 from walnutquay.protocol import ownmessages as own
 from walnutquay.protocol.ownpeer import OwnPeerCodec
@@ -77,7 +80,7 @@
             for row in range(rows)
         )
         node.send(target, own.TallyNews(news))
-        await asyncio.sleep(TALLY_SECONDS * LARGE_ROUNDS)
+        await asyncio.sleep(OUTCOME_COUNTS_SECONDS * LARGE_FLEET_ROUNDS)
 
 
 async def run(count: int, port: int, period: float, rows: int) -> None:
--- a/lab/capacity/page.py
+++ b/lab/capacity/page.py
@@ -18,8 +18,11 @@
 from walnutquay.coordination.own.configurations import WATCHERS
 from walnutquay.coordination.own.endpoints import MAX_REPORTERS, REPORT_PERIOD
 from walnutquay.coordination.own.members import FLEET_LIST_READS
+from walnutquay.coordination.own.outcomecounts import (
+    LARGE_FLEET_ROUNDS,
+    OUTCOME_COUNTS_SECONDS,
+)
 from walnutquay.coordination.own.platform import WATCH_SECONDS
-from walnutquay.coordination.own.tallies import LARGE_ROUNDS, TALLY_SECONDS
 from walnutquay.state.fleet.membership import (
     DIGESTS,
     HEARTBEAT_FANOUT,
@@ -117,7 +120,7 @@
         change_cpu = self.slope("changes", "cpu") * SECONDS
         bills = min(aims.NODES, FLEET_FLUSHES)
         keyed = self.keyed_room()
-        told = 1 / (TALLY_SECONDS * LARGE_ROUNDS)
+        told = 1 / (OUTCOME_COUNTS_SECONDS * LARGE_FLEET_ROUNDS)
         return [
             Row(
                 "request path (not control)",
@@ -174,7 +177,7 @@
             ),
             Row(
                 "outcomes of versions",
-                "`coordination/own/tallies.py`: each VM's counts, passed on",
+                "`coordination/own/outcomecounts.py`: each VM's counts, passed on",
                 "20,000 counts at the most",
                 f"{told:.0f} message/s out, as many in, of {ROWS_SENT} counts; "
                 f"{self.told_bytes() / 1000:.1f} KB/s in all",
--- a/lab/mutants/own.py
+++ b/lab/mutants/own.py
@@ -205,8 +205,8 @@
     ),
     Mutation(
         "exposure: the counts of all VMs are one",
-        "coordination/own/tallies.py",
-        "good, bad = self.board.hear(row)",
+        "coordination/own/outcomecounts.py",
+        "good, bad = self.count_table.hear(row)",
         "good, bad = 0, 0",
         "tests.state.own.test_rollouts.FleetRolloutTest."
         "test_failures_that_are_spread_over_all_vms_brake_it",
--- a/tests/coordination/own/test_billing.py
+++ b/tests/coordination/own/test_billing.py
@@ -85,7 +85,7 @@
         context = Context(vm, HallName(name), incarnation, Timeline(vm, 100))
         members = SimpleNamespace(
             call=lambda peer, body, timeout: self.call(name, peer, body),
-            tell_all=lambda body: None,
+            broadcast=lambda body: None,
             table=MemberTable(vm, random.Random(1)),
         )
         parts = (context, self.platform, members, Dispatcher())
--- a/tests/state/own/test_claims.py
+++ b/tests/state/own/test_claims.py
@@ -102,7 +102,7 @@
             self.claims.abandon(request)
             await self.claims.release(request)
             return
-        self.claims.running(request)
+        self.claims.mark_running(request)
         await scheduler.step(self.vm, "dispatch")
         self.judge.effect(request)
         way = await scheduler.step(self.vm, "answer", "ok", "cut")
--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -110,7 +110,7 @@
         self.world = world
         self.vm = vm
         self.table = MemberTable(VmName(vm), random.Random(1))
-        self.on_news: list = []
+        self.update_listeners: list = []
 
     async def call(self, name: str, body: Message, timeout: float) -> Message:
         """Ask a VM; a dead one does not answer, nor one that is cut off."""
@@ -125,7 +125,7 @@
         assert answer is not None
         return answer
 
-    def tell_all(self, body: Message) -> None:
+    def broadcast(self, body: Message) -> None:
         """Nothing is told: all that it could bring about is less work."""
 
 
--- a/walnutquay/coordination/own/acceptance.py
+++ b/walnutquay/coordination/own/acceptance.py
@@ -130,7 +130,7 @@
             await self.platform.write(HEAD, successor.encode(), version)
         except PlatformUnclearError:
             return await self._settle(operation)
-        self.configurations.hold(parts)
+        self.configurations.cache_parts(parts)
         await self.configurations.adopt(successor, peer="")
         return Accepted(successor.revision, operation)
 
--- a/walnutquay/coordination/own/billing.py
+++ b/walnutquay/coordination/own/billing.py
@@ -317,7 +317,7 @@
             if self.log.next_batch > before:
                 self._release_waiters()
                 stored = BillStored(self.context.incarnation, self.log.next_batch)
-                self.members.tell_all(stored)
+                self.members.broadcast(stored)
 
     # Keeping copies for others.
 
--- a/walnutquay/coordination/own/claims.py
+++ b/walnutquay/coordination/own/claims.py
@@ -240,14 +240,14 @@
 
     # What the request's path tells of a claimed request.
 
-    def running(self, request: RequestId) -> None:
+    def mark_running(self, request: RequestId) -> None:
         """Note that a claimed request is being dispatched.
 
         :param request: its id.
         """
         self.table.runs[request].state = RunState.RUNNING
 
-    def pending(self, request: RequestId) -> None:
+    def mark_pending(self, request: RequestId) -> None:
         """Note that a dispatch of a claimed request never began.
 
         :param request: its id.
--- a/walnutquay/coordination/own/configurations.py
+++ b/walnutquay/coordination/own/configurations.py
@@ -84,7 +84,7 @@
         self.listeners: list[Callable[[Configuration], None]] = []
         self.adopting = asyncio.Lock()
         self.tasks = Tasks()
-        members.on_news.append(self.on_news)
+        members.update_listeners.append(self.on_update)
         dispatcher.on(AskHead, self.on_ask_head)
         dispatcher.on(AskPart, self.on_ask_part)
 
@@ -113,7 +113,7 @@
 
     # Following the head.
 
-    def watches(self) -> bool:
+    def is_watcher(self) -> bool:
         """:returns: whether this VM is one of its data hall's watchers."""
         hall = self.context.hall
         ranked = self.members.table.ranked(f"watch/{hall}", monotonic(), hall)
@@ -124,7 +124,7 @@
         await self.read_head()
         stored_version = -1
         while True:
-            if not self.watches():
+            if not self.is_watcher():
                 stored_version = -1
                 await asyncio.sleep(RANK_PAUSE)
                 continue
@@ -187,7 +187,7 @@
         except PlatformError as error:
             log.warn("the restored store cannot be brought up to date: {}", error)
 
-    def on_news(self, news: MemberUpdate, direct: bool) -> None:
+    def on_update(self, news: MemberUpdate, direct: bool) -> None:
         """Take in what a heartbeat says of revisions.
 
         :param news: of a member.
@@ -293,7 +293,7 @@
                 return answer.data
         return await self.store.read(digest)
 
-    def hold(self, parts: Mapping[str, bytes]) -> None:
+    def cache_parts(self, parts: Mapping[str, bytes]) -> None:
         """Hold parts that are about to come into force, so none is fetched.
 
         :param parts: bytes by the part's name.
--- a/walnutquay/coordination/own/endpoints.py
+++ b/walnutquay/coordination/own/endpoints.py
@@ -65,7 +65,7 @@
         # The versions that each endpoint last reported as loaded.
         self.loaded: dict[str, frozenset[str]] = {}
         configurations.listeners.append(self.on_configuration)
-        members.on_endpoints.append(self.on_list)
+        members.endpoint_listeners.append(self.on_list)
         dispatcher.on(EndpointLeaving, self.on_peer)
 
     def start(self) -> None:
@@ -137,4 +137,4 @@
         )
         known = incarnation or self.table.state_of(name).incarnation
         if source is not LeavingSource.PEER:
-            self.members.tell_all(EndpointLeaving(name, known))
+            self.members.broadcast(EndpointLeaving(name, known))
--- a/walnutquay/coordination/own/health.py
+++ b/walnutquay/coordination/own/health.py
@@ -6,7 +6,7 @@
 
 from walnutquay.coordination.own.configurations import Configurations
 from walnutquay.coordination.own.members import Members
-from walnutquay.coordination.own.tallies import Tallies
+from walnutquay.coordination.own.outcomecounts import OutcomeCounts
 from walnutquay.coordination.process.context import Context
 from walnutquay.coordination.process.dispatcher import Dispatcher
 from walnutquay.protocol.messages import Envelope
@@ -30,7 +30,7 @@
     :param configurations: which versions are being rolled out.
     :param members: whom to tell of a brake.
     :param dispatcher: where peers' brakes come from.
-    :param tallies: the counts of all VMs.
+    :param outcome_counts: the counts of all VMs.
     """
 
     def __init__(
@@ -39,18 +39,18 @@
         configurations: Configurations,
         members: Members,
         dispatcher: Dispatcher,
-        tallies: Tallies,
+        outcome_counts: OutcomeCounts,
     ) -> None:
         self.context = context
         self.members = members
-        self.tallies = tallies
+        self.outcome_counts = outcome_counts
         self.table = BrakeTable()
         self.pace = DurationTable()
         # The stage of each version in roll-out, and since when it is in force here.
         self.since: dict[str, tuple[str, float]] = {}
         configurations.listeners.append(self.on_configuration)
         dispatcher.on(VersionBrake, self.on_peer)
-        tallies.listeners.append(self.on_tally)
+        outcome_counts.listeners.append(self.on_tally)
 
     def on_configuration(self, configuration: Configuration) -> None:
         """:param configuration: what came into force."""
@@ -70,7 +70,7 @@
             for version, stage in stages.items()
         }
         keys = {stage.key for stage in stages.values()}
-        self.tallies.board.forget(lambda subject: _is_over(subject, keys))
+        self.outcome_counts.count_table.forget(lambda subject: _is_over(subject, keys))
 
     def unchanged_for(self, version: str) -> float | None:
         """:param version: a version.
@@ -113,7 +113,7 @@
 
     def _count(self, stage: Stage, measure: Measure, version: str, good: bool) -> None:
         subject = SEPARATOR.join((TRIAL, stage.key, measure.value, version))
-        self.tallies.add(subject, good)
+        self.outcome_counts.add(subject, good)
 
     def on_tally(self, subject: str, good: int, bad: int) -> None:
         """Take in outcomes that this VM or another one has counted.
@@ -128,7 +128,7 @@
         if not self.table.take(stage, version, Measure(measure), good, bad):
             return
         self._tell(version, f"the test of {measure} outcomes says so")
-        self.members.tell_all(VersionBrake(version))
+        self.members.broadcast(VersionBrake(version))
 
     def on_peer(self, envelope: Envelope) -> None:
         """:param envelope: a peer's brake."""
--- a/walnutquay/coordination/own/keyed.py
+++ b/walnutquay/coordination/own/keyed.py
@@ -80,7 +80,7 @@
         :param grant: the endpoint.
         """
         if turn.arrival.key:
-            self.parts.claims.running(turn.arrival.request)
+            self.parts.claims.mark_running(turn.arrival.request)
 
     def on_not_started(self, turn: Turn, grant: Grant, error: NotStartedError) -> None:
         """:param turn: a request that an endpoint did not begin.
@@ -89,7 +89,7 @@
         :param error: how that is known.
         """
         if turn.arrival.key:
-            self.parts.claims.pending(turn.arrival.request)
+            self.parts.claims.mark_pending(turn.arrival.request)
 
     async def _serve_keyed(self, arrival: Arrival) -> Outcome:
         stage = receive_keyed(arrival.request)
--- a/walnutquay/coordination/own/leases.py
+++ b/walnutquay/coordination/own/leases.py
@@ -108,7 +108,7 @@
                 EventKind.LEASE, detail=f"{self.duty} taken, fence {version}"
             )
 
-    async def give_back(self) -> None:
+    async def release(self) -> None:
         """Let another VM take the lease at once, as at a planned stop."""
         if not self.view.held(monotonic()):
             return
--- a/walnutquay/coordination/own/members.py
+++ b/walnutquay/coordination/own/members.py
@@ -76,8 +76,8 @@
         self.list_read_at = float("-inf")
         # Whom to tell of newer news of a VM, and whether it came from that VM
         # itself; and whom to tell of the endpoints on the list.
-        self.on_news: list[Callable[[MemberUpdate, bool], None]] = []
-        self.on_endpoints: list[Callable[[list[ListedEndpoint]], None]] = []
+        self.update_listeners: list[Callable[[MemberUpdate, bool], None]] = []
+        self.endpoint_listeners: list[Callable[[list[ListedEndpoint]], None]] = []
         # The state that each member was last seen in, to tell of changes.
         self.states: dict[str, MemberState] = {}
         dispatcher.on(Heartbeat, self.heard)
@@ -90,14 +90,14 @@
         """
         self.table.period = heartbeat_seconds
         timers = self.context.timers
-        timers.every("heartbeat", heartbeat_seconds, self.beat)
+        timers.every("heartbeat", heartbeat_seconds, self.send_heartbeats)
         timers.every("vm-list", list_seconds, self.read_list)
 
     async def close(self) -> None:
         """Close the connection to the list."""
         await self.session.close()
 
-    def beat(self) -> None:
+    def send_heartbeats(self) -> None:
         """Send this round's heartbeats."""
         self.counter += 1
         now = monotonic()
@@ -109,7 +109,7 @@
             self.send(name, message)
         self._tell_changes(now)
 
-    def beat_all(self) -> None:
+    def broadcast_heartbeat(self) -> None:
         """Tell every known member at once, as at the begin of a stop."""
         self.counter += 1
         message = Heartbeat(replace(self.own(), counter=self.counter))
@@ -141,7 +141,7 @@
             )
         return await self.node.call(address, body, timeout, name)
 
-    def tell_all(self, body: Message) -> None:
+    def broadcast(self, body: Message) -> None:
         """Send a datagram to every live member.
 
         :param body: the message.
@@ -149,7 +149,7 @@
         for member in self.table.alive(monotonic()):
             self.send(member.latest.vm, body)
 
-    def tell(self, body: Message) -> None:
+    def send_to_some(self, body: Message) -> None:
         """Send a datagram to some members, those of the next round of heartbeats.
 
         :param body: the message.
@@ -157,7 +157,7 @@
         for name in self.table.targets():
             self.send(name, body)
 
-    def is_keeper(self, key: str) -> bool:
+    def is_responsible_for(self, key: str) -> bool:
         """:param key: a name.
 
         :returns: whether this VM, of all that are alive, does what is done once for it.
@@ -175,7 +175,7 @@
         self.table.receive_digests(heartbeat.digests, now)
         for news in (heartbeat.own, *heartbeat.rumours):
             if self.table.receive(news, now):
-                for listener in self.on_news:
+                for listener in self.update_listeners:
                     listener(news, news is heartbeat.own)
 
     async def read_list(self) -> None:
@@ -203,7 +203,7 @@
             for row in rows
             if row["kind"] == "endpoint"
         ]
-        for listener in self.on_endpoints:
+        for listener in self.endpoint_listeners:
             listener(endpoints)
 
     def _tell_changes(self, now: float) -> None:
--- a/walnutquay/coordination/own/tallies.py
+++ b/walnutquay/coordination/own/outcomecounts.py
@@ -14,15 +14,15 @@
 from walnutquay.state.fleet.membership import HEARTBEAT_FANOUT
 from walnutquay.state.own.tallies import TallyBoard
 
-TALLY_SECONDS = 0.5
+OUTCOME_COUNTS_SECONDS = 0.5
 # A large fleet tells only in every so many rounds.
-LARGE_ROUNDS = 2
+LARGE_FLEET_ROUNDS = 2
 
 # Told of news: the subject, and how many more good and bad outcomes there are.
 Listener = Callable[[str, int, int], None]
 
 
-class Tallies:
+class OutcomeCounts:
     """Counts what this VM sees, tells it, and takes in what others count.
 
     A VM tells a few others, who pass it on; nobody waits for it.
@@ -37,14 +37,14 @@
     ) -> None:
         self.context = context
         self.members = members
-        self.board = TallyBoard(context.vm, context.incarnation, context.rng)
+        self.count_table = TallyBoard(context.vm, context.incarnation, context.rng)
         self.listeners: list[Listener] = []
         self.rounds = 0
-        dispatcher.on(TallyNews, self.on_news)
+        dispatcher.on(TallyNews, self.on_counts)
 
     def start(self) -> None:
         """Begin to tell."""
-        self.context.timers.every("tallies", TALLY_SECONDS, self.tell)
+        self.context.timers.every("tallies", OUTCOME_COUNTS_SECONDS, self.send_changes)
 
     def add(self, subject: str, good: bool) -> None:
         """Count an outcome that this VM has seen.
@@ -53,16 +53,16 @@
         :param good: whether it was good.
         """
         counts = (1, 0) if good else (0, 1)
-        self.board.add(subject, *counts)
+        self.count_table.add(subject, *counts)
         self._hand_on(subject, *counts)
 
-    def tell(self) -> None:
+    def send_changes(self) -> None:
         """Tell some of what has changed."""
         self.rounds += 1
         large = len(self.members.table.members) > HEARTBEAT_FANOUT
-        if large and self.rounds % LARGE_ROUNDS:
+        if large and self.rounds % LARGE_FLEET_ROUNDS:
             return
-        rows = self.board.to_tell()
+        rows = self.count_table.to_tell()
         if not rows:
             return
         targets = self.members.table.targets()
@@ -71,11 +71,11 @@
         for name in targets[:1] if large else targets:
             self.members.send(name, TallyNews(tuple(rows)))
 
-    def on_news(self, envelope: Envelope) -> None:
+    def on_counts(self, envelope: Envelope) -> None:
         """:param envelope: what another VM tells."""
         assert isinstance(envelope.body, TallyNews)
         for row in envelope.body.rows:
-            good, bad = self.board.hear(row)
+            good, bad = self.count_table.hear(row)
             if good or bad:
                 self._hand_on(row.subject, good, bad)
 
--- a/walnutquay/coordination/own/parts.py
+++ b/walnutquay/coordination/own/parts.py
@@ -18,6 +18,7 @@
 from walnutquay.coordination.own.keyed import KeyedParts
 from walnutquay.coordination.own.leases import Lease
 from walnutquay.coordination.own.members import Members
+from walnutquay.coordination.own.outcomecounts import OutcomeCounts
 from walnutquay.coordination.own.pins import SessionPins
 from walnutquay.coordination.own.planning import ChatPlanner
 from walnutquay.coordination.own.platform import Platform
@@ -25,7 +26,6 @@
 from walnutquay.coordination.own.rater import Rater
 from walnutquay.coordination.own.rollouts import DUTY, ORDER_SECONDS, RolloutDuty
 from walnutquay.coordination.own.services import ServicePath
-from walnutquay.coordination.own.tallies import Tallies
 from walnutquay.coordination.process.context import Context, Timeline, new_incarnation
 from walnutquay.coordination.process.dispatcher import Dispatcher
 from walnutquay.coordination.process.eventlog import EventLog
@@ -93,7 +93,11 @@
         )
         self.platform = Platform(context, options.platform)
         self.members = Members(
-            context, self.node, self.dispatcher, options.platform.vm_list_url, self.news
+            context,
+            self.node,
+            self.dispatcher,
+            options.platform.vm_list_url,
+            self.own_update,
         )
         self.configurations = Configurations(
             context, self.platform, self.members, self.dispatcher
@@ -106,11 +110,11 @@
         context = self.context
         self.client = HttpClient(HEADER_REQUEST_ID, stray_teller(context))
         self.table = EndpointTable(context.hall, context.rng)
-        self.endpoint_news = EndpointNews(
+        self.endpoint_monitor = EndpointNews(
             context, self.table, self.configurations, self.members, self.dispatcher
         )
         self.admission = Admission(context, self.configurations, self.table)
-        self.endpoint_news.used = self.admission.used
+        self.endpoint_monitor.used = self.admission.used
         self.claims = Claims(
             context,
             self.platform,
@@ -120,12 +124,16 @@
             options.memory.answer_bytes,
         )
         self.billing = Billing(context, self.platform, self.members, self.dispatcher)
-        self.tallies = Tallies(context, self.members, self.dispatcher)
+        self.outcome_counts = OutcomeCounts(context, self.members, self.dispatcher)
         self.health = VersionHealth(
-            context, self.configurations, self.members, self.dispatcher, self.tallies
+            context,
+            self.configurations,
+            self.members,
+            self.dispatcher,
+            self.outcome_counts,
         )
         self.quality = AnswerQuality(
-            context, Rater(self.client, options.rater), self.tallies, self.health
+            context, Rater(self.client, options.rater), self.outcome_counts, self.health
         )
         lease = Lease(
             context,
@@ -139,7 +147,7 @@
             context,
             self.configurations,
             self.acceptance,
-            self.endpoint_news,
+            self.endpoint_monitor,
             self.health,
             lease,
         )
@@ -172,7 +180,7 @@
         )
         self.services = ServicePath(path_parts, self.client)
 
-    def news(self) -> MemberUpdate:
+    def own_update(self) -> MemberUpdate:
         """:returns: what this VM tells the others of itself."""
         return MemberUpdate(
             vm=self.context.vm,
@@ -195,12 +203,12 @@
         self.members.start(
             options.peers.heartbeat_seconds, options.platform.list_seconds
         )
-        self.members.beat()
+        self.members.send_heartbeats()
         self.configurations.start(options.platform.anti_entropy_seconds)
-        self.endpoint_news.start()
+        self.endpoint_monitor.start()
         self.claims.start()
         self.billing.start()
-        self.tallies.start()
+        self.outcome_counts.start()
         self.crashes.start()
         for path in (self.chats, self.services):
             self.context.timers.on_wake(path.limits.woke)
@@ -252,7 +260,7 @@
         self.crash_record.stop()
         self.crashes.close()
         await self.rollouts.close()
-        await self.endpoint_news.close()
+        await self.endpoint_monitor.close()
         await self.members.close()
         await self.client.close()
         await self.platform.close()
--- a/walnutquay/coordination/own/quality.py
+++ b/walnutquay/coordination/own/quality.py
@@ -5,8 +5,8 @@
 from __future__ import annotations
 
 from walnutquay.coordination.own.health import SEPARATOR, VersionHealth
+from walnutquay.coordination.own.outcomecounts import OutcomeCounts
 from walnutquay.coordination.own.rater import Rater
-from walnutquay.coordination.own.tallies import Tallies
 from walnutquay.coordination.own.turns import ChatTurn
 from walnutquay.coordination.process.context import Context
 from walnutquay.coordination.process.tasks import Tasks
@@ -31,20 +31,24 @@
 
     :param context: what this process shares.
     :param rater: the adapter to the rater.
-    :param tallies: the counts of all VMs.
+    :param outcome_counts: the counts of all VMs.
     :param health: the tests of versions in roll-out.
     """
 
     def __init__(
-        self, context: Context, rater: Rater, tallies: Tallies, health: VersionHealth
+        self,
+        context: Context,
+        rater: Rater,
+        outcome_counts: OutcomeCounts,
+        health: VersionHealth,
     ) -> None:
         self.context = context
         self.rater = rater
-        self.tallies = tallies
+        self.outcome_counts = outcome_counts
         self.health = health
         self.learner = StepLearner(context.rng)
         self.sampling = Tasks()
-        tallies.listeners.append(self.on_tally)
+        outcome_counts.listeners.append(self.on_tally)
 
     def steps(
         self,
@@ -106,7 +110,7 @@
         reached = rating >= turn.plan.quality
         self.health.note_rating(turn.target, reached)
         parts = (RATED, turn.plan.cascade, turn.arrival.request_class, turn.target)
-        self.tallies.add(SEPARATOR.join(parts), reached)
+        self.outcome_counts.add(SEPARATOR.join(parts), reached)
         return reached
 
     def sample(self, turn: ChatTurn, answer: bytes) -> None:
--- a/walnutquay/daemon/beliefs.py
+++ b/walnutquay/daemon/beliefs.py
@@ -29,7 +29,7 @@
             }
             for name, member in table.members.items()
         },
-        "watches": parts.configurations.watches(),
+        "watches": parts.configurations.is_watcher(),
     }
 
 
--- a/walnutquay/daemon/entry.py
+++ b/walnutquay/daemon/entry.py
@@ -83,8 +83,8 @@
         self.callers.open = False
         self.callers.server.draining = True
         parts.leaving = True
-        parts.members.beat_all()
-        await parts.rollouts.lease.give_back()
+        parts.members.broadcast_heartbeat()
+        await parts.rollouts.lease.release()
         # The balancer goes on sending callers here until it has noticed.
         await asyncio.sleep(section.balancer_seconds)
         self.callers.server.close_listener()
--- a/walnutquay/daemon/status.py
+++ b/walnutquay/daemon/status.py
@@ -20,7 +20,7 @@
     :returns: it, its tests, and which engines that are to run the new version
         have it, as far as this VM knows.
     """
-    loaded = parts.endpoint_news.loaded
+    loaded = parts.endpoint_monitor.loaded
     wanted = parts.configurations.current.endpoints_of_version.get(rollout.new, [])
     return {
         **rollout.model_dump(mode="json"),
