--- a/walnutquay/coordination/own/outcomecounts.py
+++ b/walnutquay/coordination/own/outcomecounts.py
@@ -12,7 +12,7 @@
 from walnutquay.protocol.messages import Envelope
 from walnutquay.protocol.ownmessages import TallyNews
 from walnutquay.state.fleet.membership import HEARTBEAT_FANOUT
-from walnutquay.state.own.tallies import TallyBoard
+from walnutquay.state.own.outcomecounts import OutcomeCountTable
 
 OUTCOME_COUNTS_SECONDS = 0.5
 # A large fleet tells only in every so many rounds.
