--- a/lab/mutants/own.py
+++ b/lab/mutants/own.py
@@ -206,7 +206,7 @@
     Mutation(
         "exposure: the counts of all VMs are one",
         "coordination/own/outcomecounts.py",
-        "good, bad = self.count_table.hear(row)",
+        "good, bad = self.count_table.receive(row)",
         "good, bad = 0, 0",
         "tests.state.own.test_rollouts.FleetRolloutTest."
         "test_failures_spread_over_all_vms_withdraw_the_version",
--- a/walnutquay/coordination/own/health.py
+++ b/walnutquay/coordination/own/health.py
@@ -44,7 +44,7 @@
         self.context = context
         self.members = members
         self.outcome_counts = outcome_counts
-        self.table = BrakeTable()
+        self.table = CircuitBreakerTable()
         self.pace = DurationTable()
         # The stage of each version in roll-out, and since when it is in force here.
         self.since: dict[str, tuple[str, float]] = {}
--- a/walnutquay/coordination/own/outcomecounts.py
+++ b/walnutquay/coordination/own/outcomecounts.py
@@ -37,7 +37,9 @@
     ) -> None:
         self.context = context
         self.members = members
-        self.count_table = TallyBoard(context.vm, context.incarnation, context.rng)
+        self.count_table = OutcomeCountTable(
+            context.vm, context.incarnation, context.rng
+        )
         self.listeners: list[Listener] = []
         self.rounds = 0
         dispatcher.on(TallyNews, self.on_counts)
@@ -62,7 +64,7 @@
         large = len(self.members.table.members) > HEARTBEAT_FANOUT
         if large and self.rounds % LARGE_FLEET_ROUNDS:
             return
-        rows = self.count_table.to_tell()
+        rows = self.count_table.rows_to_send()
         if not rows:
             return
         targets = self.members.table.targets()
@@ -75,7 +77,7 @@
         """:param envelope: what another VM tells."""
         assert isinstance(envelope.body, TallyNews)
         for row in envelope.body.rows:
-            good, bad = self.count_table.hear(row)
+            good, bad = self.count_table.receive(row)
             if good or bad:
                 self._hand_on(row.subject, good, bad)
 
