--- a/lab/mutants/own.py
+++ b/lab/mutants/own.py
@@ -162,7 +162,7 @@
     Mutation(
         "configuration: peers pass it on during an outage",
         "coordination/own/configurations.py",
-        "if news.revision > self.head.revision:",
+        "if update.revision > self.head.revision:",
         "if False:",
         "tests.processes.test_configurations.SpreadTest.test_an_outage_right_after_acceptance",
     ),
--- a/walnutquay/coordination/own/acceptance.py
+++ b/walnutquay/coordination/own/acceptance.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Acceptance of operators' changes: one head, one conditional update."""
+"""Acceptance of operators' changes by a conditional update of one head object."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 )
 from walnutquay.state.process.ids import NO_REVISION
 
-# Tries to learn what became of a change whose answer was lost.
+# Attempts to find out whether a change took effect after its response was lost.
 SETTLE_TRIES = 5
 SETTLE_PAUSE = 0.5
-# Tries of a change that is worked out anew when another came first.
+# Attempts to make a change; it is recomputed if another change was accepted first.
 CHANGE_TRIES = 5
 CHANGE_PAUSE = 1.0
 
@@ -39,10 +39,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """A change that is in force from now on.
+    """An accepted change, which is in force.
 
-    :param revision: the revision that it made.
-    :param operation: the operator's id of it.
+    :param revision: the revision that the change created.
+    :param operation: the operator's id of the change.
     """
 
     revision: int
@@ -50,11 +50,11 @@
 
 
 class Acceptance:
-    """Has operators' changes accepted by the platform.
+    """Submits operators' changes to the platform.
 
-    :param context: what this process shares.
-    :param platform: the store of values.
-    :param configurations: what is in force here.
+    :param context: the state shared by this process.
+    :param platform: the client of the platform's value store.
+    :param configurations: the configuration in force on this VM.
     """
 
     def __init__(
@@ -70,15 +70,17 @@
         operation: str,
         if_revision: int | None = None,
     ) -> Accepted:
-        """Make a change, if no other operator's comes first.
+        """Make a change, unless another operator's change is accepted first.
 
-        :param change: works the new content out from the present one.
+        :param change: computes the new content from the current content.
         :param operation: the operator's id of this change.
-        :param if_revision: the revision that the operator has seen; None works
-            the change out anew on whatever is newest.
-        :raises ConflictError: if another revision is in force; it is named.
-        :raises PlatformError: if the platform does not answer; where the change
-            may have taken effect it is a :class:`PlatformUnclearError`.
+        :param if_revision: the revision that the operator has seen; None applies the
+            change to the newest revision, whichever it is.
+        :returns: the accepted change; the earlier one if the operation was accepted
+            before.
+        :raises ConflictError: if another revision is in force; the error names it.
+        :raises PlatformError: if the platform does not respond;
+            :class:`PlatformUnclearError` if the change may have taken effect.
         """
         for _ in range(CHANGE_TRIES):
             stored = await self.platform.read(HEAD)
@@ -135,10 +137,10 @@
         return Accepted(successor.revision, operation)
 
     async def _settle(self, operation: str) -> Accepted:
-        """Learn what became of a change whose answer was lost.
+        """Find out whether a change took effect after its response was lost.
 
-        A late write can still land after a read that does not show it, unless
-        the head has moved on, so "not there" is never taken for "refused".
+        Unless the head has changed, a delayed write can still take effect after a
+        read that does not show it, so a missing change is never treated as refused.
         """
         for _ in range(SETTLE_TRIES):
             await asyncio.sleep(SETTLE_PAUSE)
--- a/walnutquay/coordination/own/billbatches.py
+++ b/walnutquay/coordination/own/billbatches.py
@@ -27,8 +27,8 @@
 class BillBatches:
     """Stores the records of bill logs in batches.
 
-    :param context: what this process shares.
-    :param platform: the store of values.
+    :param context: the state shared by this process.
+    :param platform: the client of the platform's value store.
     """
 
     def __init__(self, context: Context, platform: Platform) -> None:
@@ -52,7 +52,7 @@
                     # The log starts with a gap: another VM has stored that batch.
                     batch = await self._stored_batch(name)
             except PlatformError as error:
-                log.debug("bills cannot be stored now: {}", error)
+                log.debug("bills cannot be stored now; will be retried: {}", error)
                 return False
             if not batch:
                 return True
--- a/walnutquay/coordination/own/billkeepers.py
+++ b/walnutquay/coordination/own/billkeepers.py
@@ -13,14 +13,14 @@
 from walnutquay.state.process.ids import Incarnation
 from walnutquay.transport.timers import monotonic
 
-# For this long after a failed copy, a peer is asked after the others.
+# For this long after a failed copy, a peer is tried after the others.
 AVOID_SECONDS = 2.0
 
 
 class BillKeepers:
     """Selects the peers to which bill records are copied.
 
-    :param context: what this process shares.
+    :param context: the state shared by this process.
     :param members: the other VMs.
     """
 
@@ -31,10 +31,10 @@
         self.failed_at: dict[str, float] = {}
 
     def choose(self) -> list[str]:
-        """Choose one peer of each distance, in order of preference.
+        """Choose one peer at each distance, in order of preference.
 
         Peers that failed recently come last instead of being excluded, so that there
-        is a peer to ask even if all have failed.
+        is a peer to try even if all have failed.
 
         :returns: names of live peers.
         """
@@ -54,7 +54,10 @@
         return sorted(found, key=lambda name: self._failed_recently(name, now))
 
     def record_failure(self, peer: str) -> None:
-        """:param peer: a peer that did not take a copy."""
+        """Record a failed copy.
+
+        :param peer: the peer that did not confirm the copy.
+        """
         self.failed_at[peer] = monotonic()
 
     def _failed_recently(self, peer: str, now: float) -> bool:
@@ -68,10 +71,10 @@
         :param peer: the peer's name.
         :param bill_log: the log that contains the records.
         :param records: records in order.
-        :param timeout: seconds to wait for the answer to each message.
+        :param timeout: seconds to wait for the response to each message.
         :returns: the number of the first record that the peer lacks; None if it lacks
             none.
-        :raises PeerError: if the peer does not answer.
+        :raises PeerError: if the peer does not respond.
         """
         for start in range(0, len(records), BATCH_RECORDS):
             chunk = records[start : start + BATCH_RECORDS]
@@ -84,16 +87,18 @@
         return None
 
     def incarnation_of(self, peer: str) -> Incarnation | None:
-        """:param peer: a peer's name.
+        """Get the incarnation of a peer.
 
+        :param peer: the peer's name.
         :returns: its last known incarnation; None if the peer is unknown.
         """
         member = self.members.table.members.get(peer)
         return member.latest.incarnation if member is not None else None
 
     def is_alive(self, peer: str, incarnation: Incarnation | None) -> bool:
-        """:param peer: a peer's name.
+        """Check whether a peer is alive with the expected incarnation.
 
+        :param peer: the peer's name.
         :param incarnation: the expected incarnation.
         :returns: whether the peer is alive with that incarnation and not leaving.
         """
--- a/walnutquay/coordination/own/claims.py
+++ b/walnutquay/coordination/own/claims.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Claims of idempotency keys, one object of the platform for each key."""
+"""Claims on idempotency keys, stored as one platform object for each key."""
 
 from __future__ import annotations
 
@@ -39,14 +39,14 @@
 
 log = logbook.Logger(__name__)
 
-# How long a claim may take in all; what cannot be claimed is refused.
+# Time limit for acquiring a claim; a request without its claim is refused.
 CLAIM_SECONDS = 4.0
-# How long the holder of a claim is waited for.
+# Time limit for the response of the VM that holds a claim.
 HOLDER_SECONDS = 1.0
-# Tries to learn what became of a claim whose answer was lost.
+# Attempts to find out whether a claim was stored after its response was lost.
 SETTLE_TRIES = 3
 SETTLE_PAUSE = 0.1
-# A claim older than this share of its time is no longer taken over.
+# A claim older than this share of its retention time is no longer taken over.
 TAKE_OVER_SHARE = 0.9
 SWEEP_SECONDS = 3600.0
 SWEEP_DELETES = 500
@@ -55,13 +55,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimResult:
-    """What became of asking for a claim.
+    """The result of an attempt to acquire a claim.
 
     :param granted: whether this request may be dispatched.
-    :param action: what a repeat is told; None where it is granted, or where
-        the platform cannot be asked.
-    :param answer: the finished answer that a repeat is given.
-    :param reason: why nothing can be said.
+    :param action: how a repeat is handled; None if the claim is granted or the
+        platform cannot be queried.
+    :param answer: the finished answer to return to a repeat.
+    :param reason: why the claim could not be decided.
     """
 
     granted: bool
@@ -74,14 +74,14 @@
 
 
 class Claims:
-    """Asks for claims, and answers for those that this VM holds.
+    """Acquires claims, and reports the state of those that this VM holds.
 
-    :param context: what this process shares.
-    :param platform: the store of values.
+    :param context: the state shared by this process.
+    :param platform: the client of the platform's value store.
     :param members: the other VMs.
-    :param dispatcher: where peers' questions come from.
-    :param hours: hours for which a key is remembered.
-    :param answer_bytes: bytes of finished answers to keep.
+    :param dispatcher: delivers peers' queries.
+    :param hours: hours for which a key is kept.
+    :param answer_bytes: maximum total size of the finished answers that are kept.
     """
 
     def __init__(
@@ -98,13 +98,13 @@
         self.members = members
         self.keep_seconds = hours * SECONDS_PER_HOUR
         self.table = RunTable(answer_bytes)
-        # The run that holds each key here, by the claim object's name.
+        # The request that holds each key on this VM, by the claim object's name.
         self.by_name: dict[str, RequestId] = {}
         self.fingerprints: dict[RequestId, str] = {}
         dispatcher.on(AskRun, self.on_ask_run)
 
     def start(self) -> None:
-        """Begin to forget old claims."""
+        """Start the periodic removal of old claims."""
         self.context.timers.every("claim-sweep", SWEEP_SECONDS, self.sweep)
 
     async def acquire(
@@ -114,9 +114,9 @@
         fingerprint: str,
         request: RequestId,
     ) -> ClaimResult:
-        """Ask for the right to dispatch a request under a key.
+        """Acquire the right to dispatch a request under a key.
 
-        :param organisation: whose key it is.
+        :param organisation: the organisation that the key belongs to.
         :param key: the caller's idempotency key.
         :param fingerprint: the hash of the request.
         :param request: the request's id.
@@ -145,7 +145,7 @@
         return result
 
     def _held_here(self, name: str, fingerprint: str) -> ClaimResult | None:
-        """Answer a repeat of a key that this VM holds itself."""
+        """Decide on a repeat of a key that this VM holds itself."""
         request = self.by_name.get(name)
         if request is None:
             return None
@@ -153,14 +153,14 @@
         if run.state is RunState.ABANDONED:
             return None
         claim = Claim(request, "", "", self.fingerprints[request], 0.0)
-        return _repeat(claim, fingerprint, run.state, run.answer)
+        return _repeat_result(claim, fingerprint, run.state, run.answer)
 
     async def _claim(self, name: str, claim: Claim) -> ClaimResult:
-        """Make the claim object, or find out who has it."""
+        """Create the claim object, or find out which request holds the key."""
         try:
             version = await self.platform.write(name, claim.encode(), ABSENT)
         except PlatformConflictError:
-            return await self._contest(name, claim)
+            return await self._resolve_conflict(name, claim)
         except PlatformUnclearError:
             return await self._settle(name, claim)
         return self._granted(claim, version)
@@ -170,7 +170,7 @@
         return GRANTED
 
     async def _settle(self, name: str, claim: Claim) -> ClaimResult:
-        """Send a claim again whose answer was lost; it can be made only once."""
+        """Retry a claim whose response was lost; its object is created only once."""
         error: PlatformError = PlatformUnclearError(
             "the claim's answer is lost", step="claim", peer=name
         )
@@ -179,26 +179,26 @@
             try:
                 version = await self.platform.write(name, claim.encode(), ABSENT)
             except PlatformConflictError:
-                return await self._contest(name, claim)
+                return await self._resolve_conflict(name, claim)
             except PlatformUnclearError as again:
                 error = again
             else:
                 return self._granted(claim, version)
         raise error
 
-    async def _contest(self, name: str, claim: Claim) -> ClaimResult:
-        """Deal with a key that has a claim already: a repeat, or our own."""
+    async def _resolve_conflict(self, name: str, claim: Claim) -> ClaimResult:
+        """Handle a key that is claimed already: by another request or by this one."""
         stored = await self.platform.read(name)
         if not stored.version:
             return ClaimResult(False, reason="the key's claim has just been removed")
-        standing = Claim.decode(stored.value)
-        if standing.request == claim.request:
+        current = Claim.decode(stored.value)
+        if current.request == claim.request:
             return self._granted(claim, stored.version)
-        if standing.at < time.time() - self.keep_seconds * TAKE_OVER_SHARE:
-            # It may be swept away between this read and a write.
+        if current.at < time.time() - self.keep_seconds * TAKE_OVER_SHARE:
+            # The claim may be swept between this read and a write.
             return ClaimResult(False, RepeatAction.SAY_UNKNOWN)
-        state, answer = await self._ask_holder(standing)
-        result = _repeat(standing, claim.fingerprint, state, answer)
+        state, answer = await self._query_holder(current)
+        result = _repeat_result(current, claim.fingerprint, state, answer)
         if result.action is not RepeatAction.TAKE_OVER:
             return result
         try:
@@ -206,12 +206,12 @@
         except PlatformConflictError:
             return ClaimResult(False, RepeatAction.WAIT)
         except PlatformUnclearError:
-            # Should the write have landed, the key is held by a request that
-            # is abandoned here, and the next repeat takes it over.
+            # If the write took effect, the key is held by a request that is
+            # abandoned here, so the next repeat takes it over.
             return ClaimResult(False, reason="the answer to taking over is lost")
         return self._granted(claim, version)
 
-    async def _ask_holder(
+    async def _query_holder(
         self, claim: Claim
     ) -> tuple[RunState | None, WholeAnswer | None]:
         if claim.abandoned:
@@ -224,45 +224,47 @@
                 claim.vm, AskRun(claim.request), HOLDER_SECONDS
             )
         except PeerError as error:
-            log.debug("the holder of a claim does not answer: {}", error)
+            log.debug(
+                "the holder of a claim did not respond; its state is unknown: {}", error
+            )
             return None, None
         assert isinstance(answer, RunIs)
         return answer.state, answer.answer
 
     def on_ask_run(self, envelope: Envelope) -> RunIs:
-        """Tell a peer how a claimed request of this VM stands.
+        """Report the state of a claimed request of this VM to a peer.
 
-        :param envelope: the question.
+        :param envelope: the peer's query.
         """
         assert isinstance(envelope.body, AskRun)
         run = self.table.runs.get(RequestId(envelope.body.request))
         return RunIs(None) if run is None else RunIs(run.state, run.answer)
 
-    # What the request's path tells of a claimed request.
+    # Progress of a claimed request, reported by the path that handles it.
 
     def mark_running(self, request: RequestId) -> None:
-        """Note that a claimed request is being dispatched.
+        """Record that a claimed request is being dispatched.
 
         :param request: its id.
         """
         self.table.runs[request].state = RunState.RUNNING
 
     def mark_pending(self, request: RequestId) -> None:
-        """Note that a dispatch of a claimed request never began.
+        """Record that a dispatch of a claimed request did not start.
 
         :param request: its id.
         """
         self.table.runs[request].state = RunState.PENDING
 
     def abandon(self, request: RequestId) -> None:
-        """Note that a request will never be dispatched, and free its key.
+        """Record that a request will never be dispatched, and free its key.
 
         :param request: its id.
         """
         self.table.end(request, RunState.ABANDONED, monotonic())
 
     async def release(self, request: RequestId) -> None:
-        """Say in the platform that a request is abandoned, so that none need ask.
+        """Mark a claim in the platform as abandoned, so that no VM has to query it.
 
         :param request: its id.
         """
@@ -273,7 +275,9 @@
         try:
             await self.platform.write(run.claim_name, claim.encode(), run.version)
         except PlatformError as error:
-            log.debug("an abandoned claim stands as it was: {}", error)
+            log.debug(
+                "a claim cannot be marked as abandoned; it stays unchanged: {}", error
+            )
 
     def _claim_of(self, request: RequestId, abandoned: bool = False) -> Claim:
         return Claim(
@@ -288,7 +292,7 @@
     def finish(
         self, request: RequestId, state: RunState, answer: WholeAnswer | None = None
     ) -> None:
-        """Note how a claimed request ended.
+        """Record how a claimed request ended.
 
         :param request: its id.
         :param state: ``ANSWERED`` or ``UNKNOWN``.
@@ -296,10 +300,10 @@
         """
         self.table.end(request, state, monotonic(), answer)
 
-    # Forgetting.
+    # Removing old claims.
 
     async def sweep(self) -> None:
-        """Forget what is too old, here and, on one VM, in the platform."""
+        """Remove old claims from memory and, on one VM only, from the platform."""
         self.table.forget_before(monotonic() - self.keep_seconds)
         self.by_name = {n: r for n, r in self.by_name.items() if r in self.table.runs}
         self.fingerprints = {
@@ -311,7 +315,9 @@
         try:
             await self._sweep_platform()
         except PlatformError as error:
-            log.debug("old claims cannot be removed now: {}", error)
+            log.debug(
+                "old claims cannot be removed now; the next sweep retries: {}", error
+            )
 
     async def _sweep_platform(self) -> None:
         oldest = time.time() - self.keep_seconds
@@ -326,13 +332,13 @@
                 return
 
 
-def _repeat(
+def _repeat_result(
     claim: Claim,
     fingerprint: str,
     state: RunState | None,
     answer: WholeAnswer | None,
 ) -> ClaimResult:
-    """Say what a repeat is told, with the answer where it is that."""
+    """Decide how a repeat is handled; a lost answer makes the outcome unknown."""
     action = on_repeat(claim, fingerprint, state)
     if action is RepeatAction.GIVE_ANSWER and answer is None:
         action = RepeatAction.SAY_UNKNOWN
--- a/walnutquay/coordination/own/configurations.py
+++ b/walnutquay/coordination/own/configurations.py
@@ -1,10 +1,10 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Spread of the configuration to every entry VM.
+"""Distribution of the configuration to every entry VM.
 
-The platform's head object decides what is accepted.  A few VMs of each data
-hall watch it; the rest learn of a newer revision from heartbeats and fetch it
-from a peer.  A VM only ever moves to a higher revision.
+The platform's head object defines the accepted configuration.  A few VMs of each
+data hall watch it; the others learn of a newer revision from heartbeats and fetch
+it from a peer.  A VM never returns to a lower revision.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 log = logbook.Logger(__name__)
 
 HEAD = "config/head"
-# VMs of each data hall that watch the head.
+# Number of VMs of each data hall that watch the head.
 WATCHERS = 2
 WATCH_PAUSE = 1.0
 RANK_PAUSE = 1.0
@@ -56,10 +56,10 @@
 class Configurations:
     """Holds the configuration that is in force on this VM.
 
-    :param context: what this process shares.
-    :param platform: the store of values.
+    :param context: the state shared by this process.
+    :param platform: the client of the platform's value store.
     :param members: the other VMs.
-    :param dispatcher: where peers' questions come from.
+    :param dispatcher: delivers peers' queries.
     """
 
     def __init__(
@@ -76,20 +76,20 @@
         self.head = first_head()
         self.store = PartStore(platform)
         self.programs = PolicyPrograms()
-        # Bytes of the parts in force, by hash, for peers that ask.
+        # Bytes of the parts in force, by hash, for peers that request them.
         self.parts: dict[str, bytes] = {}
-        # When this VM last knew that its revision was the newest.
+        # When this VM's revision was last confirmed to be the newest.
         self.confirmed_at = float("-inf")
-        # Whom to tell when another configuration comes into force.
+        # Called when another configuration comes into force.
         self.listeners: list[Callable[[Configuration], None]] = []
-        self.adopting = asyncio.Lock()
+        self.adopt_lock = asyncio.Lock()
         self.tasks = Tasks()
         members.update_listeners.append(self.on_update)
         dispatcher.on(AskHead, self.on_ask_head)
         dispatcher.on(AskPart, self.on_ask_part)
 
     def start(self, anti_entropy_seconds: float) -> None:
-        """Begin to follow the head.
+        """Start following the head.
 
         :param anti_entropy_seconds: seconds between two reads of the head by a
             VM that does not watch it.
@@ -99,16 +99,16 @@
         timers.every("anti-entropy", anti_entropy_seconds, self.read_head)
 
     def stop(self) -> None:
-        """End all tasks."""
+        """Stop all tasks."""
         self.tasks.stop()
 
     @property
     def ready(self) -> bool:
-        """Whether this VM has a configuration at all."""
+        """Whether this VM has any configuration."""
         return self.current.revision > NO_REVISION
 
     def confirmed_age(self) -> float:
-        """:returns: seconds since this VM knew its revision to be the newest."""
+        """:returns: seconds since this VM's revision was confirmed to be the newest."""
         return monotonic() - self.confirmed_at
 
     # Following the head.
@@ -120,7 +120,7 @@
         return self.context.vm in ranked[:WATCHERS]
 
     async def _follow(self) -> None:
-        """Watch the head whenever this VM's rank says so."""
+        """Watch the head while this VM is a watcher by its rank."""
         await self.read_head()
         stored_version = -1
         while True:
@@ -135,7 +135,7 @@
                 else:
                     stored = await self.platform.watch(HEAD, stored_version)
             except PlatformError as error:
-                log.debug("the head cannot be watched: {}", error)
+                log.debug("the head cannot be watched; will read it again: {}", error)
                 stored_version = -1
                 await asyncio.sleep(WATCH_PAUSE)
                 continue
@@ -143,7 +143,7 @@
                 self._confirm(asked_at)
                 continue
             stored_version = stored.version
-            await self._take_stored(stored, asked_at)
+            await self._apply_stored(stored, asked_at)
 
     async def read_head(self) -> None:
         """Read the head once, as anti-entropy."""
@@ -151,11 +151,11 @@
         try:
             stored = await self.platform.read(HEAD)
         except PlatformError as error:
-            log.debug("the head cannot be read: {}", error)
+            log.debug("the head cannot be read; anti-entropy will retry: {}", error)
             return
-        await self._take_stored(stored, asked_at)
+        await self._apply_stored(stored, asked_at)
 
-    async def _take_stored(self, stored: Stored, asked_at: float) -> None:
+    async def _apply_stored(self, stored: Stored, asked_at: float) -> None:
         head = Head.decode(stored.value) if stored.version else first_head()
         if head.revision < self.head.revision:
             await self._repair(head, stored.version)
@@ -167,11 +167,11 @@
         self.confirmed_at = max(self.confirmed_at, at)
 
     async def _repair(self, head: Head, version: int) -> None:
-        """Bring a store that was restored from an older copy up to date.
+        """Update a store that was restored from an older backup.
 
-        The fleet's revision was accepted once and must not revert, so the
-        first-ranked VM writes it again; the conditional update keeps a racing
-        operator's change from being overwritten unseen.
+        The fleet's revision was accepted and must not be reverted, so the
+        first-ranked VM writes it again.  The conditional update prevents it from
+        overwriting a concurrent change by an operator.
         """
         self.context.timeline.emit(
             EventKind.CONFIGURATION_REFUSED,
@@ -185,41 +185,46 @@
             await self.store.write_all(self.current.part_bytes())
             await self.platform.write(HEAD, self.head.encode(), version)
         except PlatformError as error:
-            log.warn("the restored store cannot be brought up to date: {}", error)
+            log.warn(
+                "the restored store cannot be updated to the revision in force: {}",
+                error,
+            )
 
-    def on_update(self, news: MemberUpdate, direct: bool) -> None:
-        """Take in what a heartbeat says of revisions.
+    def on_update(self, update: MemberUpdate, direct: bool) -> None:
+        """Apply the revision that a heartbeat reports.
 
-        :param news: of a member.
+        :param update: an update on a member.
         :param direct: whether that member sent it itself.
         """
-        if news.revision > self.head.revision:
-            if not self.adopting.locked():
-                self.tasks.spawn(self._fetch(news.vm))
-        elif direct and news.revision == self.head.revision:
-            self._confirm(monotonic() - news.confirmed_age)
+        if update.revision > self.head.revision:
+            if not self.adopt_lock.locked():
+                self.tasks.spawn(self._fetch(update.vm))
+        elif direct and update.revision == self.head.revision:
+            self._confirm(monotonic() - update.confirmed_age)
 
     async def _fetch(self, peer: str) -> None:
         """Fetch a newer head from a peer."""
         try:
             answer = await self.members.call(peer, AskHead(), PEER_SECONDS)
         except PeerError as error:
-            log.debug("no head from a peer: {}", error)
+            log.debug("the newer head cannot be fetched from a peer: {}", error)
             return
         if isinstance(answer, HeadIs) and answer.data:
             await self.adopt(Head.decode(answer.data), peer)
 
     def on_ask_head(self, envelope: Envelope) -> HeadIs:
-        """:param envelope: a peer's question.
+        """Answer a peer's query for the head.
 
-        :returns: the head in force here.
+        :param envelope: the peer's query.
+        :returns: the head in force on this VM; empty if it has none.
         """
         return HeadIs(self.head.encode() if self.ready else b"")
 
     def on_ask_part(self, envelope: Envelope) -> PartIs:
-        """:param envelope: a peer's question.
+        """Answer a peer's query for a part.
 
-        :returns: the part's bytes; empty where it is not in force here.
+        :param envelope: the peer's query.
+        :returns: the part's bytes; empty if it is not in force on this VM.
         """
         assert isinstance(envelope.body, AskPart)
         return PartIs(self.parts.get(envelope.body.hash, b""))
@@ -228,16 +233,18 @@
         """Put a head in force if it is newer than this VM's.
 
         :param head: the head.
-        :param peer: who has its parts; empty for the platform.
-        :returns: whether this VM now has that head in force.
+        :param peer: the peer that has its parts; empty for the platform.
+        :returns: whether that head is now in force on this VM.
         """
-        async with self.adopting:
+        async with self.adopt_lock:
             if head.revision < self.head.revision:
                 return False
             if head.revision == self.head.revision:
                 same = head.parts == self.head.parts
                 if not same:
-                    self._refuse(head, "it has another content than in force here")
+                    self._reject(
+                        head, "its content differs from the same revision in force here"
+                    )
                 return same
             try:
                 parts = await self._collect(head, peer)
@@ -246,13 +253,13 @@
                 log.warn("revision {} cannot be fetched: {}", head.revision, error)
                 return False
             except ValidationError as error:
-                self._refuse(head, str(error))
+                self._reject(head, str(error))
                 return False
             self._put_in_force(head, parts, configuration)
             return True
 
-    def _refuse(self, head: Head, reason: str) -> None:
-        log.error("revision {} cannot be used: {}", head.revision, reason)
+    def _reject(self, head: Head, reason: str) -> None:
+        log.error("revision {} is rejected: {}", head.revision, reason)
         self.context.timeline.emit(
             EventKind.CONFIGURATION_REFUSED, detail=f"revision {head.revision}"
         )
@@ -271,7 +278,7 @@
         )
 
     async def _collect(self, head: Head, peer: str) -> dict[str, bytes]:
-        """Get the bytes of all parts: from memory, a peer or the platform."""
+        """Collect the bytes of all parts from memory, a peer or the platform."""
         found: dict[str, bytes] = {}
         for name, digest in head.parts.items():
             data = self.parts.get(digest, b"")
@@ -281,7 +288,9 @@
                 data = await self._fetch_part(digest, peer)
             if part_hash(data) != digest:
                 raise ConfigurationError(
-                    f"part {name} is not what its hash says", step="fetch", peer=peer
+                    f"the content of part {name} does not match its hash",
+                    step="fetch",
+                    peer=peer,
                 )
             found[name] = data
         return found
@@ -294,7 +303,7 @@
         return await self.store.read(digest)
 
     def cache_parts(self, parts: Mapping[str, bytes]) -> None:
-        """Hold parts that are about to come into force, so none is fetched.
+        """Keep parts that are about to come into force, so that they are not fetched.
 
         :param parts: bytes by the part's name.
         """
--- a/walnutquay/coordination/own/leases.py
+++ b/walnutquay/coordination/own/leases.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Keeps a lease in the platform for the VM that is first in rank for it."""
+"""Leases in the platform, each held by the VM that ranks first for its duty."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 
 log = logbook.Logger(__name__)
 
-# Renewals in the time of one lease.
+# Number of renewals within the duration of a lease.
 RENEWALS = 3
-# VMs that look at a lease: the first in rank and who comes after it.
-LOOKERS = 2
+# Number of VMs that read a lease: the first in rank and its successor.
+CANDIDATES = 2
 NOBODY = VmName("")
 
 
 class Lease:
-    """One duty's lease.
+    """The lease on one duty.
 
-    :param context: what this process shares.
-    :param platform: the store of values.
+    :param context: the state shared by this process.
+    :param platform: the client of the platform's value store.
     :param members: the other VMs.
     :param duty: the duty's name.
-    :param seconds: how long the lease runs.
-    :param order_seconds: how long an order may be under way at the most.
+    :param seconds: duration of the lease.
+    :param order_seconds: maximum time that an order takes.
     """
 
     def __init__(
@@ -55,49 +55,54 @@
         self.view = LeaseView(context.incarnation, order_seconds)
 
     def start(self) -> None:
-        """Begin to keep the lease, or to look who does."""
+        """Start to renew the lease, or to observe its holder."""
         period = self.value.seconds / RENEWALS
         self.context.timers.every(f"lease-{self.duty}", period, self.keep)
 
     def fence(self) -> int | None:
-        """:returns: the fence of an order sent now; None where none may be."""
+        """:returns: the fence for an order sent now; None if no order may be sent."""
         return self.view.fence(monotonic())
 
     async def keep(self) -> None:
-        """Renew the lease, or take it if it is this VM's turn and free."""
+        """Renew the lease, or acquire it if it is free and this VM ranks first."""
         asked_at = monotonic()
-        if not self.view.held(asked_at) and not self._is_near():
-            # Were all VMs to look, the looking alone would fill the platform.
+        if not self.view.held(asked_at) and not self._is_candidate():
+            # If all VMs read the lease, these reads alone would use up the platform's
+            # rates.
             return
         try:
             if not self.view.held(asked_at):
-                await self._look()
+                await self._read()
                 asked_at = monotonic()
-            if self.view.held(asked_at) or self._is_next(asked_at):
-                await self._take(asked_at)
+            if self.view.held(asked_at) or self._is_due(asked_at):
+                await self._write(asked_at)
         except PlatformError as error:
-            # It may have been renewed all the same; the time that is known
-            # to be held runs on, and the next look tells.
-            log.debug("lease {} cannot be kept now: {}", self.duty, error)
+            # The lease may have been renewed nevertheless.  The confirmed time
+            # remains valid, and the next read shows the actual state.
+            log.debug(
+                "lease {} cannot be read or written now; will be read again: {}",
+                self.duty,
+                error,
+            )
             self.view.version = -1
 
-    async def _look(self) -> None:
+    async def _read(self) -> None:
         stored = await self.platform.read(self.name)
         value = LeaseValue.decode(stored.value) if stored.version else None
         self.view.saw(stored.version, value, monotonic())
 
-    def _is_near(self) -> bool:
+    def _is_candidate(self) -> bool:
         ranked = self.members.table.ranked(self.name, monotonic())
-        return self.context.vm in ranked[:LOOKERS]
+        return self.context.vm in ranked[:CANDIDATES]
 
-    def _is_next(self, now: float) -> bool:
+    def _is_due(self, now: float) -> bool:
         ranked = self.members.table.ranked(self.name, now)
         return ranked[0] == self.context.vm and self.view.may_take(now)
 
-    async def _take(self, asked_at: float) -> None:
+    async def _write(self, asked_at: float) -> None:
         held = self.view.held(asked_at)
         if self.view.version < 0:
-            await self._look()
+            await self._read()
         self.value = replace(self.value, writes=self.value.writes + 1)
         version = await self.platform.write(
             self.name, self.value.encode(), self.view.version
@@ -109,7 +114,10 @@
             )
 
     async def release(self) -> None:
-        """Let another VM take the lease at once, as at a planned stop."""
+        """Release the lease, so that another VM can acquire it at once.
+
+        This is used for a planned stop.
+        """
         if not self.view.held(monotonic()):
             return
         version = self.view.version
@@ -118,4 +126,8 @@
         try:
             await self.platform.write(self.name, nobody.encode(), version)
         except PlatformError as error:
-            log.debug("lease {} runs out by itself: {}", self.duty, error)
+            log.debug(
+                "lease {} cannot be released; it expires on its own: {}",
+                self.duty,
+                error,
+            )
