--- a/tests/coordination/own/test_billing.py
+++ b/tests/coordination/own/test_billing.py
@@ -74,7 +74,7 @@
         self.platform = FakePlatform()
         self.billing: dict[str, Billing] = {}
         self.starts: Counter[str] = Counter()
-        # How many of the next calls to each VM fail.
+        # Number of the next calls to each VM that fail.
         self.failing_calls: Counter[str] = Counter()
 
     def start(self, name: str) -> Billing:
@@ -96,7 +96,7 @@
         """Add a VM's current incarnation to the member tables of all others."""
         for other, billing in self.billing.items():
             if other != name:
-                news = MemberUpdate(
+                update = MemberUpdate(
                     VmName(name),
                     self.billing[name].context.incarnation,
                     HallName(name),
@@ -105,7 +105,7 @@
                     leaving=leaving,
                     address=Address("127.0.0.1", 1),
                 )
-                billing.members.table.receive(news, monotonic())
+                billing.members.table.receive(update, monotonic())
 
     def kill(self, name: str) -> None:
         """Stop a VM and remove it from the member tables of all others."""
@@ -126,7 +126,7 @@
 
 
 class BillingCase(unittest.IsolatedAsyncioTestCase):
-    """Starts VMs that know each other, with the platform unavailable."""
+    """Starts VMs that know each other as members; the platform is unavailable."""
 
     vm_names = ("a", "b")
 
@@ -151,7 +151,7 @@
                 await self.owner.add(request, "org", COST_LINES)
 
     async def until(self, condition) -> None:
-        """Wait until a condition holds."""
+        """Wait until a condition is true."""
         async with asyncio.timeout(30.0):
             while not condition():  # noqa: ASYNC110
                 await asyncio.sleep(0.001)
@@ -242,7 +242,7 @@
         self.assertEqual(self.fleet.platform.bill_counts(), Counter(["r0", "r1"]))
         self.assertEqual(keeper.kept, {})
 
-    async def test_a_planned_stop_copies_records_behind_a_gap(self):
+    async def test_a_planned_stop_copies_records_after_a_gap(self):
         await self.add("r0", "r1")
         keeper = self.fleet.billing[self.owner.copy_peer]
         other = self.fleet.billing[self.other_peer()]
@@ -305,10 +305,10 @@
         self.assertEqual(self.uncopied_requests(self.owner), ["r0"])
 
 
-class SleepTest(BillingCase):
+class SuspendedVmTest(BillingCase):
     """Guards against lost or duplicate bills when a VM declared dead resumes."""
 
-    async def test_records_before_and_after_the_sleep_are_stored_once(self):
+    async def test_records_before_and_after_the_suspension_are_stored_once(self):
         await self.add("r0", "r1")
         keeper = self.fleet.billing["b"]
         keeper.members.table.members.clear()
@@ -321,7 +321,7 @@
 
 
 class KeeperRestartOrdersTest(unittest.IsolatedAsyncioTestCase):
-    """Guards against taken copies whose earlier records were lost in a restart."""
+    """Guards against confirmed copies whose earlier records a restart has lost."""
 
     async def run_order(self, scheduler: Scheduler) -> None:
         """Copy four records while the keeper restarts up to twice."""
--- a/walnutquay/coordination/own/billing.py
+++ b/walnutquay/coordination/own/billing.py
@@ -55,9 +55,9 @@
 # after which peers that do not respond count as silent.
 COPY_WAIT_SECONDS = SILENT_SECONDS
 FLUSH_SECONDS = 1.0
-# Flushes of the whole fleet stay near this many a second.
+# Approximate number of flushes of the whole fleet per second.
 FLEET_FLUSHES = 50
-# A VM that has been silent for this long is flushed for by its peer.
+# Once a VM has been silent for this long, its peer stores the records kept for it.
 DEAD_SECONDS = 8.0
 ADOPT_SECONDS = 2.0
 # A dead VM's log that starts with a gap is dropped after this many flushes, which leave
@@ -78,12 +78,12 @@
 
 
 class Billing:
-    """Makes bill records and sees to it that each is stored once.
+    """Creates bill records and ensures that each is stored once.
 
-    :param context: what this process shares.
-    :param platform: the store of values.
+    :param context: the state shared by this process.
+    :param platform: the client of the platform's value store.
     :param members: the other VMs.
-    :param dispatcher: where copies come from.
+    :param dispatcher: delivers copies and notices of stored records.
     """
 
     def __init__(
@@ -100,7 +100,7 @@
         self.log = BillLog(context.incarnation)
         # Logs that are kept for other incarnations, by incarnation.
         self.kept: dict[Incarnation, BillLog] = {}
-        # Which VM each kept incarnation is, or was.
+        # The VM of each kept incarnation.
         self.vm_of: dict[Incarnation, str] = {}
         # Number of flushes of each dead VM's log that stopped at a gap.
         self.gap_flushes: Counter[Incarnation] = Counter()
@@ -121,14 +121,14 @@
         dispatcher.on(BillStored, self.on_stored)
 
     def start(self) -> None:
-        """Begin to copy, to flush, and to flush for dead peers."""
+        """Start copying, flushing, and flushing for dead peers."""
         self.tasks.forever("bill-copy", self._copy_forever)
         self.context.timers.every("bill-flush", FLUSH_SECONDS, self.flush_when_due)
         self.context.timers.every("bill-keeper", FLUSH_SECONDS, self.check_keeper)
         self.context.timers.every("bill-adopt", ADOPT_SECONDS, self.flush_for_dead)
 
     def stop(self) -> None:
-        """End all tasks."""
+        """Stop all tasks."""
         self.tasks.stop()
 
     # Making records.
@@ -139,15 +139,16 @@
         organisation: OrganisationName,
         lines: Iterable[CostLine],
     ) -> BillRecord:
-        """Bill a request; returns once a second VM, or the platform, has it.
+        """Bill a request; return once a second VM or the platform has the record.
 
         If neither can be reached, it returns without a copy, after at most
         ``COPY_WAIT_SECONDS``, and the record is copied or stored later, as soon as
         one of them can be reached.
 
         :param request: the request.
-        :param organisation: who pays.
-        :param lines: what its steps cost.
+        :param organisation: the organisation that is billed.
+        :param lines: the cost of each step.
+        :returns: the record.
         """
         record = BillRecord(
             self.next_number, request, organisation, time.time(), tuple(lines)
@@ -171,7 +172,7 @@
         """Wait until a record is copied or stored.
 
         :param number: the record's number.
-        :returns: whether it is; False if the wait was given up.
+        :returns: whether it is; False if the wait was abandoned.
         """
         waiter = _Waiter(number, asyncio.get_running_loop().create_future())
         self.waiting.append(waiter)
@@ -213,7 +214,7 @@
                 self.waiting.append(waiter)
 
     async def _copy(self, records: list[BillRecord]) -> bool:
-        """Have records kept elsewhere.
+        """Copy records to a peer, or store them if no peer takes a copy.
 
         :returns: whether a peer or the platform has them.
         """
@@ -244,7 +245,7 @@
             try:
                 missing = await self.keepers.send(peer, self.log, records, timeout)
             except PeerError as error:
-                log.debug("bills cannot be copied: {}", error)
+                log.debug("bills cannot be copied to a peer: {}", error)
                 return False
             if missing is None:
                 self.copy_peer = peer
@@ -292,7 +293,9 @@
             try:
                 missing = await self.keepers.send(peer, kept, records, COPY_SECONDS)
             except PeerError as error:
-                log.debug("kept bills cannot be copied: {}", error)
+                log.debug(
+                    "bills kept for another VM cannot be copied to a peer: {}", error
+                )
                 continue
             # The peer lacks what this VM lacks, but keeps the rest.
             if missing is None or kept.has_gap():
@@ -302,10 +305,10 @@
     # Storing records.
 
     async def flush_when_due(self) -> None:
-        """Flush at a pace that keeps the whole fleet within its rate."""
+        """Flush at an interval that keeps the whole fleet within its rate."""
         fleet = len(self.members.table.members) + 1
-        pace = max(FLUSH_SECONDS, fleet / FLEET_FLUSHES)
-        if monotonic() - self.last_flush >= pace * 0.9:
+        interval = max(FLUSH_SECONDS, fleet / FLEET_FLUSHES)
+        if monotonic() - self.last_flush >= interval * 0.9:
             await self.flush()
 
     async def flush(self) -> None:
@@ -327,7 +330,8 @@
         Records after a gap cannot be stored, because each batch begins where the
         previous one ends.
 
-        :param envelope: the message that came.
+        :param envelope: the received message.
+        :returns: a confirmation, or the number of the first missing record.
         """
         assert isinstance(envelope.body, BillCopy)
         incarnation = Incarnation(envelope.body.incarnation)
@@ -342,9 +346,9 @@
         return BillsMissing(kept.end) if kept.has_gap() else BillTaken()
 
     def on_stored(self, envelope: Envelope) -> None:
-        """Drop copies of what is stored.
+        """Drop copies of stored records.
 
-        :param envelope: the message that came.
+        :param envelope: the received message.
         """
         assert isinstance(envelope.body, BillStored)
         kept = self.kept.get(Incarnation(envelope.body.incarnation))
@@ -352,9 +356,10 @@
             kept.skip_to(envelope.body.next_batch)
 
     def _seconds_silent(self, incarnation: Incarnation) -> float:
-        """:param incarnation: one that records are kept for.
+        """Get the time for which an incarnation has been silent.
 
-        :returns: seconds since it was last heard; 0 while it counts as alive, infinity
+        :param incarnation: an incarnation whose records are kept.
+        :returns: seconds since its last message; 0 while it counts as alive, infinity
             if it is unknown or has been replaced.
         """
         vm = self.vm_of.get(incarnation, "")
@@ -367,10 +372,10 @@
         return now - member.last_seen_at
 
     async def flush_for_dead(self) -> None:
-        """Store what is kept for VMs that are gone.
+        """Store the records that are kept for dead VMs.
 
-        A VM that only slept finds its batches' names taken when it wakes, and
-        goes on behind them.
+        A VM that was only suspended finds on resuming that its batches' names exist,
+        and continues after these batches.
         """
         for incarnation, kept in list(self.kept.items()):
             if self._seconds_silent(incarnation) <= DEAD_SECONDS:
--- a/walnutquay/coordination/own/members.py
+++ b/walnutquay/coordination/own/members.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Membership: heartbeats among entry VMs and the platform's lagging list."""
+"""Membership, from heartbeats of entry VMs and the platform's delayed VM list."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 log = logbook.Logger(__name__)
 
 LIST_TIMEOUT = 2.0
-# Reads of the list that the whole fleet makes in a second, once it is large.
+# Maximum number of list reads of a large fleet per second.
 FLEET_LIST_READS = 50
 
 
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
-    """An endpoint VM as the platform's list has it.
+    """An endpoint's entry in the platform's VM list.
 
     :param name: the endpoint's name.
-    :param leaving: whether its VM is being taken away.
-    :param incarnation: which start of it; empty where the list does not say.
+    :param leaving: whether its VM is being removed.
+    :param incarnation: identifies the endpoint's start; empty if not listed.
     """
 
     name: str
@@ -46,13 +46,13 @@
 
 
 class Members:
-    """Keeps this VM's view of the others, and tells them of this VM.
+    """Maintains this VM's view of the other VMs and sends them updates on this VM.
 
-    :param context: what this process shares.
-    :param node: the sockets to peers.
-    :param dispatcher: where heartbeats come from.
-    :param vm_list_url: the platform's list of VMs.
-    :param own: gives what is to be said of this VM, but for the counter.
+    :param context: the state shared by this process.
+    :param node: the sockets for messages to peers.
+    :param dispatcher: delivers heartbeats.
+    :param vm_list_url: URL of the platform's VM list.
+    :param make_own_update: makes the update on this VM, except for the counter.
     """
 
     def __init__(
@@ -61,12 +61,12 @@
         node: PeerNode,
         dispatcher: Dispatcher,
         vm_list_url: str,
-        own: Callable[[], MemberUpdate],
+        make_own_update: Callable[[], MemberUpdate],
     ) -> None:
         self.context = context
         self.node = node
         self.vm_list_url = vm_list_url
-        self.own = own
+        self.make_own_update = make_own_update
         self.counter = 0
         self.table = MemberTable(context.vm, context.rng)
         self.session = aiohttp.ClientSession(
@@ -74,19 +74,19 @@
             headers={"User-Agent": context.vm},
         )
         self.list_read_at = float("-inf")
-        # Whom to tell of newer news of a VM, and whether it came from that VM
-        # itself; and whom to tell of the endpoints on the list.
+        # Called with each newer update on a VM and whether that VM sent it itself.
         self.update_listeners: list[Callable[[MemberUpdate, bool], None]] = []
+        # Called with the endpoints on the list.
         self.endpoint_listeners: list[Callable[[list[ListedEndpoint]], None]] = []
-        # The state that each member was last seen in, to tell of changes.
+        # The last observed state of each member, for reporting changes.
         self.states: dict[str, MemberState] = {}
-        dispatcher.on(Heartbeat, self.heard)
+        dispatcher.on(Heartbeat, self.on_heartbeat)
 
     def start(self, heartbeat_seconds: float, list_seconds: float) -> None:
-        """Begin to send heartbeats and to read the list.
+        """Start sending heartbeats and reading the list.
 
         :param heartbeat_seconds: seconds between heartbeats.
-        :param list_seconds: seconds between two looks at the list.
+        :param list_seconds: minimum seconds between two reads of the list.
         """
         self.table.period = heartbeat_seconds
         timers = self.context.timers
@@ -94,25 +94,25 @@
         timers.every("vm-list", list_seconds, self.read_list)
 
     async def close(self) -> None:
-        """Close the connection to the list."""
+        """Close the connection to the platform's list."""
         await self.session.close()
 
     def send_heartbeats(self) -> None:
-        """Send this round's heartbeats."""
+        """Send the heartbeats of one round."""
         self.counter += 1
         now = monotonic()
-        own = replace(self.own(), counter=self.counter)
+        own = replace(self.make_own_update(), counter=self.counter)
         message = Heartbeat(
             own, tuple(self.table.rumours(now)), tuple(self.table.digests(now))
         )
         for name in self.table.targets():
             self.send(name, message)
-        self._tell_changes(now)
+        self._emit_state_changes(now)
 
     def broadcast_heartbeat(self) -> None:
-        """Tell every known member at once, as at the begin of a stop."""
+        """Send a heartbeat to every known member at once, as a planned stop begins."""
         self.counter += 1
-        message = Heartbeat(replace(self.own(), counter=self.counter))
+        message = Heartbeat(replace(self.make_own_update(), counter=self.counter))
         for name in {*self.table.members, *self.table.listed_addresses}:
             self.send(name, message)
 
@@ -127,12 +127,13 @@
             self.node.send(address, body)
 
     async def call(self, name: str, body: Message, timeout: float) -> Message:
-        """Ask a member.
+        """Send a request to a member and wait for the response.
 
         :param name: the member.
-        :param body: the question.
+        :param body: the request.
         :param timeout: seconds to wait.
-        :raises PeerError: if no answer comes.
+        :returns: the response.
+        :raises PeerError: if there is no response.
         """
         address = self.table.address(name)
         if address is None:
@@ -150,7 +151,7 @@
             self.send(member.latest.vm, body)
 
     def send_to_some(self, body: Message) -> None:
-        """Send a datagram to some members, those of the next round of heartbeats.
+        """Send a datagram to the targets of one round of heartbeats.
 
         :param body: the message.
         """
@@ -158,31 +159,33 @@
             self.send(name, body)
 
     def is_responsible_for(self, key: str) -> bool:
-        """:param key: a name.
+        """Check whether this VM does the work that only one VM does for a key.
 
-        :returns: whether this VM, of all that are alive, does what is done once for it.
+        :param key: a name.
+        :returns: whether this VM ranks first for the key among all live VMs.
         """
         return self.table.ranked(key, monotonic())[:1] == [self.context.vm]
 
-    def heard(self, envelope: Envelope) -> None:
-        """Take in a heartbeat.
+    def on_heartbeat(self, envelope: Envelope) -> None:
+        """Apply a heartbeat.
 
-        :param envelope: the message that came.
+        :param envelope: the received message.
         """
         heartbeat = envelope.body
         assert isinstance(heartbeat, Heartbeat)
         now = monotonic()
         self.table.receive_digests(heartbeat.digests, now)
-        for news in (heartbeat.own, *heartbeat.rumours):
-            if self.table.receive(news, now):
+        for update in (heartbeat.own, *heartbeat.rumours):
+            if self.table.receive(update, now):
                 for listener in self.update_listeners:
-                    listener(news, news is heartbeat.own)
+                    listener(update, update is heartbeat.own)
 
     async def read_list(self) -> None:
-        """Take in the platform's list; without an answer the old one stands.
+        """Apply the platform's list; if it cannot be read, the previous one is kept.
 
-        The more VMs there are, the less often each reads it: news of a VM comes
-        by heartbeat, of an endpoint from whichever VM read the list first.
+        The larger the fleet, the less often each VM reads the list: updates on VMs
+        arrive by heartbeat, and updates on endpoints from the VM that is the first
+        to read the list.
         """
         due = max(0.0, len(self.table.members) / FLEET_LIST_READS)
         if monotonic() - self.list_read_at < due:
@@ -192,7 +195,7 @@
             rows = await get_json(self.session, self.vm_list_url, LIST_TIMEOUT)
         except EndpointError as error:
             self.context.metrics.count("vm_list_failures")
-            log.debug("the VM list cannot be read: {}", error)
+            log.debug("the VM list cannot be read; the previous one is kept: {}", error)
             return
         assert isinstance(rows, list)
         entries = [row for row in rows if row["kind"] == "entry"]
@@ -206,7 +209,7 @@
         for listener in self.endpoint_listeners:
             listener(endpoints)
 
-    def _tell_changes(self, now: float) -> None:
+    def _emit_state_changes(self, now: float) -> None:
         for name, member in self.table.members.items():
             state = self.table.state_of(member, now)
             if self.states.get(name) is state:
--- a/walnutquay/coordination/own/outcomecounts.py
+++ b/walnutquay/coordination/own/outcomecounts.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Counts of outcomes, told from VM to VM so that each learns from all."""
+"""Exchange of outcome counts between VMs, so that each VM has those of all."""
 
 from __future__ import annotations
 
@@ -15,21 +15,22 @@
 from walnutquay.state.own.outcomecounts import OutcomeCountTable
 
 OUTCOME_COUNTS_SECONDS = 0.5
-# A large fleet tells only in every so many rounds.
+# In a large fleet, changes are sent only once in this number of rounds.
 LARGE_FLEET_ROUNDS = 2
 
-# Told of news: the subject, and how many more good and bad outcomes there are.
+# Called with a subject and the numbers of its new good and bad outcomes.
 Listener = Callable[[str, int, int], None]
 
 
 class OutcomeCounts:
-    """Counts what this VM sees, tells it, and takes in what others count.
+    """Counts outcomes on this VM and exchanges the counts with other VMs.
 
-    A VM tells a few others, who pass it on; nobody waits for it.
+    A VM sends its counts to a few others, which forward them; no request waits for
+    this.
 
-    :param context: what this process shares.
-    :param members: whom to tell.
-    :param dispatcher: where others' counts come from.
+    :param context: the state shared by this process.
+    :param members: the other VMs.
+    :param dispatcher: delivers the counts of other VMs.
     """
 
     def __init__(
@@ -45,21 +46,21 @@
         dispatcher.on(TallyNews, self.on_counts)
 
     def start(self) -> None:
-        """Begin to tell."""
+        """Start sending changed counts."""
         self.context.timers.every("tallies", OUTCOME_COUNTS_SECONDS, self.send_changes)
 
     def add(self, subject: str, good: bool) -> None:
-        """Count an outcome that this VM has seen.
+        """Count an outcome that this VM has observed.
 
-        :param subject: what is counted.
+        :param subject: the subject that the outcome counts for.
         :param good: whether it was good.
         """
         counts = (1, 0) if good else (0, 1)
         self.count_table.add(subject, *counts)
-        self._hand_on(subject, *counts)
+        self._notify_listeners(subject, *counts)
 
     def send_changes(self) -> None:
-        """Tell some of what has changed."""
+        """Send some of the changed counts to a few other VMs."""
         self.rounds += 1
         large = len(self.members.table.members) > HEARTBEAT_FANOUT
         if large and self.rounds % LARGE_FLEET_ROUNDS:
@@ -68,19 +69,23 @@
         if not rows:
             return
         targets = self.members.table.targets()
-        # Each row is passed on by whoever hears it: in a large fleet one VM at a time
-        # is enough, and six would be over the limit for control (docs/CAPACITY.md).
+        # Each VM that receives a row forwards it: in a large fleet, one target per
+        # round is enough, and six would exceed the limit on control traffic
+        # (docs/CAPACITY.md).
         for name in targets[:1] if large else targets:
             self.members.send(name, TallyNews(tuple(rows)))
 
     def on_counts(self, envelope: Envelope) -> None:
-        """:param envelope: what another VM tells."""
+        """Apply the counts of another VM.
+
+        :param envelope: the received message.
+        """
         assert isinstance(envelope.body, TallyNews)
         for row in envelope.body.rows:
             good, bad = self.count_table.receive(row)
             if good or bad:
-                self._hand_on(row.subject, good, bad)
+                self._notify_listeners(row.subject, good, bad)
 
-    def _hand_on(self, subject: str, good: int, bad: int) -> None:
+    def _notify_listeners(self, subject: str, good: int, bad: int) -> None:
         for listener in self.listeners:
             listener(subject, good, bad)
--- a/walnutquay/coordination/own/parts.py
+++ b/walnutquay/coordination/own/parts.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The parts of one daemon, put together."""
+"""Assembly of the components of one daemon."""
 
 from __future__ import annotations
 
@@ -46,16 +46,17 @@
 from walnutquay.transport.peers import PeerNode
 
 SECONDS_PER_DAY = 86400.0
-# How often a stop looks whether the last request has ended.
+# Interval at which a planned stop checks whether all requests have ended.
 STOP_POLL_SECONDS = 0.02
 FLUSH_TRIES = 20
 FLUSH_PAUSE = 0.5
 
 
 class Parts:
-    """Makes, starts and stops the parts of one entry VM.
+    """Creates, starts and stops the components of one entry VM.
 
-    It must be made inside the running loop, for the parts open connections.
+    It must be created inside the running event loop, since the components open
+    connections.
 
     :param settings: the daemon's settings.
     """
@@ -79,7 +80,7 @@
         self._make_path(keys)
 
     def _make_fleet(self, keys: list[str]) -> None:
-        """Make what deals with the platform and the other VMs."""
+        """Create the components for the platform and the other VMs."""
         options = self.settings.options
         context = self.context
         self.dispatcher = Dispatcher()
@@ -105,7 +106,7 @@
         self.acceptance = Acceptance(context, self.platform, self.configurations)
 
     def _make_path(self, keys: list[str]) -> None:
-        """Make what deals with requests."""
+        """Create the components that handle requests."""
         options = self.settings.options
         context = self.context
         self.client = HttpClient(HEADER_REQUEST_ID, stray_teller(context))
@@ -181,7 +182,7 @@
         self.services = ServicePath(path_parts, self.client)
 
     def own_update(self) -> MemberUpdate:
-        """:returns: what this VM tells the others of itself."""
+        """:returns: the update on this VM that is sent to the others."""
         return MemberUpdate(
             vm=self.context.vm,
             incarnation=self.context.incarnation,
@@ -196,7 +197,7 @@
         )
 
     async def start(self) -> None:
-        """Open the sockets to peers and begin all duties."""
+        """Open the sockets for peers and start all components."""
         options = self.settings.options
         await self.node.start(options.peers.host, options.peers.port)
         await self.members.read_list()
@@ -216,19 +217,19 @@
         self.rollouts.start()
 
     def close_requests(self) -> None:
-        """Take no new requests from here on."""
+        """Refuse new requests from now on."""
         self.chats.closed = True
         self.services.closed = True
 
     def in_flight(self) -> int:
-        """:returns: requests that have arrived and have no outcome yet."""
+        """:returns: number of requests that have arrived and have no outcome yet."""
         paths = (self.chats, self.services)
         return sum(path.in_flight + len(path.background.running) for path in paths)
 
     async def finish_requests(self, seconds: float) -> bool:
         """Wait until no request is in flight.
 
-        :param seconds: how long to wait at the most.
+        :param seconds: maximum time to wait.
         :returns: whether all have ended.
         """
         loop = asyncio.get_running_loop()
@@ -238,7 +239,7 @@
         return not self.in_flight()
 
     async def flush_bills(self) -> bool:
-        """Store all bills, including those of dead VMs, or copy them to a peer.
+        """Store all bills, including those of crashed VMs, or copy them to a peer.
 
         :returns: whether this VM's bills are stored and those kept for others are safe.
         """
@@ -251,7 +252,7 @@
         return False
 
     async def stop(self) -> None:
-        """End all duties and close all sockets."""
+        """Stop all components and close all sockets."""
         self.context.timers.stop()
         self.configurations.stop()
         self.billing.stop()
@@ -267,5 +268,5 @@
 
 
 async def _always() -> bool:
-    """Read the record of crashes: a VM that starts has no other source of it."""
+    """Allow reading the crash record, the only source of crashes for a starting VM."""
     return True
--- a/walnutquay/coordination/own/partstore.py
+++ b/walnutquay/coordination/own/partstore.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The parts of configurations in the platform, each named by its hash."""
+"""Storage of configuration parts in the platform, each named by its hash."""
 
 from __future__ import annotations
 
@@ -13,24 +13,25 @@
 from walnutquay.state.own.configuration import part_hash
 
 PART_PREFIX = "config/parts/"
-# Tries of a write whose answer was lost.
+# Attempts of a write whose response is lost.
 WRITE_TRIES = 5
 WRITE_PAUSE = 0.5
 
 
 class PartStore:
-    """Reads and writes parts; a part never changes, for its name is its hash.
+    """Reads and writes parts, which never change because their name is their hash.
 
-    :param platform: the store of values.
+    :param platform: the client of the platform's value store.
     """
 
     def __init__(self, platform: Platform) -> None:
         self.platform = platform
 
     async def read(self, digest: str) -> bytes:
-        """:param digest: a part's hash.
+        """Read a part.
 
-        :returns: its bytes; empty where the platform lacks it.
+        :param digest: the part's hash.
+        :returns: its bytes; empty if the platform does not have it.
         """
         stored = await self.platform.read(PART_PREFIX + digest)
         return stored.value
@@ -38,11 +39,11 @@
     async def write_all(
         self, parts: Mapping[str, bytes], known: frozenset[str] = frozenset()
     ) -> None:
-        """Write parts that the platform may lack.
+        """Write the parts that the platform may not have.
 
         :param parts: bytes by the part's name.
-        :param known: hashes of parts that are there for certain.
-        :raises PlatformError: if one could not be written.
+        :param known: hashes of parts that the platform is known to have.
+        :raises PlatformError: if a part cannot be written.
         """
         missing = {part_hash(data): data for data in parts.values()}
         for digest, data in missing.items():
@@ -50,7 +51,7 @@
                 await self._write(digest, data)
 
     async def _write(self, digest: str, data: bytes) -> None:
-        """Write one part; a write whose answer is lost is simply sent again."""
+        """Write one part; if the response is lost, the same write is sent again."""
         for attempt in range(WRITE_TRIES):
             try:
                 await self.platform.write(PART_PREFIX + digest, data, ABSENT)
--- a/walnutquay/coordination/own/platform.py
+++ b/walnutquay/coordination/own/platform.py
@@ -1,10 +1,10 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The platform as the parts of our own interface use it.
+"""Access to the platform's value store for the components of our own interface.
 
-Every write names the version it expects, 0 for "none yet", so a write can be sent
-again safely.  Calls are kept within this VM's share of the platform's rates, and
-whether the platform answers is noted.
+Every write states the version that it expects, 0 if there is none yet, so a write
+can be repeated safely.  Calls are limited to this VM's share of the platform's
+rates, and the platform's availability is recorded.
 """
 
 from __future__ import annotations
@@ -30,9 +30,9 @@
 from walnutquay.transport.timers import monotonic
 
 WATCH_SECONDS = 20.0
-# Calls that may be saved up for a burst, as a multiple of the rate.
+# Seconds of the call rate that may be accumulated for a burst.
 BURST_SECONDS = 2.0
-# What the counters call each kind of call.
+# Names of the counters of each kind of call.
 READ = "platform_get"
 WRITE = "platform_put"
 DELETE = "platform_delete"
@@ -41,9 +41,9 @@
 
 
 class CallBudget:
-    """Spreads calls so that the fleet stays within the platform's rates.
+    """Limits this VM's calls so that the fleet stays within the platform's rates.
 
-    :param rate: calls a second.
+    :param rate: calls per second.
     """
 
     def __init__(self, rate: float) -> None:
@@ -52,7 +52,10 @@
         self.at = monotonic()
 
     def take(self) -> bool:
-        """:returns: whether a call may be made now; it is then counted."""
+        """Take a token for one call.
+
+        :returns: whether the call may be made now.
+        """
         now = monotonic()
         self.left = min(
             self.rate * BURST_SECONDS, self.left + (now - self.at) * self.rate
@@ -67,8 +70,8 @@
 class Platform:
     """Reads, writes and watches values; owns the connections to the platform.
 
-    :param context: what this process shares.
-    :param section: the settings.
+    :param context: the state shared by this process.
+    :param section: the settings of the platform.
     """
 
     def __init__(self, context: Context, section: PlatformSection) -> None:
@@ -82,7 +85,8 @@
             on_stray=stray_teller(context),
         )
         self.values = ValueStore(self.client)
-        # Whether the last call was answered, and since when that is so.
+        # Whether the platform responded to the last call, and the time at which this
+        # last changed.
         self.up = True
         self.changed_at = monotonic()
 
@@ -94,8 +98,8 @@
         """Read a value.
 
         :param name: its name.
-        :returns: it, or version 0 where there is none.
-        :raises PlatformUnavailableError: if the platform does not answer.
+        :returns: the value, with version 0 if there is none.
+        :raises PlatformUnavailableError: if the platform does not respond.
         """
         return await self._read(name, lambda: self.values.read(name))
 
@@ -104,11 +108,11 @@
 
         :param name: its name.
         :param value: its new JSON.
-        :param expected: the version that it must have; 0 to make it.
+        :param expected: the version that it must have; 0 to create it.
         :returns: its new version.
         :raises PlatformConflictError: if it has another version.
         :raises PlatformUnavailableError: if nothing was written.
-        :raises PlatformUnclearError: if the answer is lost.
+        :raises PlatformUnclearError: if the response is lost.
         """
         return await self._call(
             WRITE, name, lambda: self.values.write(name, value, expected)
@@ -119,26 +123,26 @@
 
         :param name: its name.
         :param expected: the version that it must have.
-        :raises PlatformError: as :meth:`write` does.
+        :raises PlatformError: for the same reasons as :meth:`write`.
         """
         await self._call(DELETE, name, lambda: self.values.delete(name, expected))
 
     async def names(self, prefix: str) -> list[str]:
         """List the names of values.
 
-        :param prefix: what they begin with.
-        :returns: all of them, in order.
-        :raises PlatformUnavailableError: if the platform does not answer.
+        :param prefix: the prefix of the names.
+        :returns: all matching names, in order.
+        :raises PlatformUnavailableError: if the platform does not respond.
         """
         return await self._read(prefix, lambda: self.values.names(prefix))
 
     async def watch(self, name: str, after: int) -> Stored | None:
-        """Wait until a value has a version other than the one that is known.
+        """Wait until a value has a version other than the known one.
 
         :param name: its name.
-        :param after: the version that is known.
-        :returns: the value, or None where nothing changed for a while.
-        :raises PlatformUnavailableError: if the platform does not answer.
+        :param after: the known version.
+        :returns: the value, or None if it did not change within ``WATCH_SECONDS``.
+        :raises PlatformUnavailableError: if the platform does not respond.
         """
         return await self._read(
             name,
@@ -152,7 +156,7 @@
         try:
             return await self._call(READ, name, call, timed=timed)
         except PlatformUnclearError as error:
-            # A read changes nothing, so a lost answer leaves no doubt.
+            # A read changes nothing, so a lost response leaves no unclear state.
             raise PlatformUnavailableError(
                 error.reason, step="read", peer=name
             ) from error
@@ -165,7 +169,7 @@
         *,
         timed: bool = True,
     ) -> Result:
-        """Make one call and note whether the platform is up."""
+        """Make one call and record whether the platform is available."""
         if not self.budget.take():
             self.context.metrics.count("platform_calls_held_back")
             raise PlatformUnavailableError(
@@ -178,17 +182,17 @@
         try:
             result = await call()
         except (PlatformConflictError, PlatformBusyError, MissingObjectError) as error:
-            self._note(True, error.reason)
+            self._record_availability(True, error.reason)
             raise
         except PlatformError as error:
-            self._note(False, error.reason)
+            self._record_availability(False, error.reason)
             raise
         if timed:
             self.context.metrics.record("platform", monotonic() - started)
-        self._note(True, "answered")
+        self._record_availability(True, "answered")
         return result
 
-    def _note(self, up: bool, detail: str) -> None:
+    def _record_availability(self, up: bool, detail: str) -> None:
         if up is self.up:
             return
         self.up = up
--- a/walnutquay/coordination/own/rollouts.py
+++ b/walnutquay/coordination/own/rollouts.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""The roll-out duty: orders to engines and official brakes, under a lease."""
+"""The roll-out duty: orders to engines and withdrawals of versions, under a lease."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
 
 DUTY = "rollouts"
 TICK_SECONDS = 1.0
-# An order that has not been answered by then is given up, and sent again.
+# An order without a response within this time is abandoned, and sent again.
 ORDER_SECONDS = 0.5
 
 
 class RolloutDuty:
-    """Carries roll-outs out while this VM holds their lease.
-
-    :param context: what this process shares.
-    :param configurations: which roll-outs there are.
-    :param acceptance: has changes accepted.
-    :param news: what endpoints report.
-    :param health: brakes on versions.
-    :param lease: the duty's lease.
+    """Carries out roll-outs while this VM holds their lease.
+
+    :param context: the state shared by this process.
+    :param configurations: the configuration in force, with the roll-outs.
+    :param acceptance: submits changes of the configuration.
+    :param endpoint_monitor: the reports of endpoints.
+    :param health: the test results and rejections of versions.
+    :param lease: the lease on the duty.
     """
 
     def __init__(
@@ -48,14 +48,14 @@
         context: Context,
         configurations: Configurations,
         acceptance: Acceptance,
-        news: EndpointNews,
+        endpoint_monitor: EndpointNews,
         health: VersionHealth,
         lease: Lease,
     ) -> None:
         self.context = context
         self.configurations = configurations
         self.acceptance = acceptance
-        self.news = news
+        self.endpoint_monitor = endpoint_monitor
         self.health = health
         self.lease = lease
         self.session = aiohttp.ClientSession(
@@ -63,52 +63,52 @@
         )
 
     def start(self) -> None:
-        """Begin the duty, and to keep its lease."""
+        """Start the duty and the renewal of its lease."""
         self.lease.start()
         self.context.timers.every("rollouts", TICK_SECONDS, self.tick)
 
     async def close(self) -> None:
-        """Close the connections for orders."""
+        """Close the connections used for orders."""
         await self.session.close()
 
     async def tick(self) -> None:
-        """Do what the roll-outs need now, if this VM is the one to do it."""
+        """Advance the roll-outs, if this VM holds the lease."""
         for rollout in self.configurations.current.content.rollouts:
             if self.lease.fence() is None:
                 return
-            await self._follow_tests(rollout)
+            await self._apply_test_results(rollout)
             await self._send_orders(rollout)
 
-    async def _follow_tests(self, rollout: Rollout) -> None:
-        """Withdraw a version that VMs hold back, or go on with one that is good."""
+    async def _apply_test_results(self, rollout: Rollout) -> None:
+        """Withdraw a rejected version, or advance the roll-out of a good one."""
         under_way = rollout.state in (RolloutState.RUNNING, RolloutState.PAUSED)
         table = self.health.table
         if under_way and rollout.new in table.rejected:
-            await self._act(rollout, Action.WITHDRAW)
+            await self._submit(rollout, Action.WITHDRAW)
         elif (
             rollout.automatic
             and rollout.state is RolloutState.RUNNING
             and table.verdict(rollout.new) is Verdict.GOOD
         ):
-            await self._act(rollout, Action.ADVANCE)
+            await self._submit(rollout, Action.ADVANCE)
 
-    async def _act(self, rollout: Rollout, action: Action) -> None:
-        """Have what the tests say accepted as a change of the configuration."""
+    async def _submit(self, rollout: Rollout, action: Action) -> None:
+        """Submit the action that the tests call for as a configuration change."""
 
         def change(content: Content) -> Content:
             if rollout not in content.rollouts:
-                # An operator was faster, and the tests were of another stage.
+                # An operator has changed it, so the tests apply to another stage.
                 raise ConfigurationError(f"roll-out {rollout.name} has changed")
             return change_rollout(content, rollout.name, action, {})
 
-        # The same id from whoever makes it: a repeat after a lost answer, or
-        # by the next holder, is the same change.
+        # Every lease holder uses the same id, so a repeat after a lost response or
+        # by the next holder counts as the same change.
         operation = f"{action.value}/{rollout.name}/{rollout.new}/{rollout.stage}"
         try:
             await self.acceptance.apply(change, operation)
         except WalnutquayError as error:
             log.warn(
-                "roll-out {}: {} is not possible now: {}",
+                "roll-out {}: {} failed and will be tried again: {}",
                 rollout.name,
                 action.value,
                 error,
@@ -116,14 +116,16 @@
 
     async def _send_orders(self, rollout: Rollout) -> None:
         endpoints = self.configurations.current.endpoints
-        for order in orders_for(rollout, endpoints.values(), self.news.loaded):
+        for order in orders_for(
+            rollout, endpoints.values(), self.endpoint_monitor.loaded
+        ):
             endpoint = endpoints[order.endpoint]
             if order.action is OrderAction.UNLOAD and not endpoint.checks_fences:
-                # Late or repeated it could undo a successor's order; a version
-                # that is loaded and gets no work does no harm.
+                # A delayed or repeated order could undo an order of the next lease
+                # holder, whereas a loaded version without requests does no harm.
                 continue
-            # The lease is asked right before each order, by a clock that
-            # counts pauses.
+            # The lease is checked right before each order, by a clock that includes
+            # the time during which the VM was suspended.
             fence = self.lease.fence()
             if fence is None:
                 return
@@ -143,7 +145,11 @@
             ) as answer:
                 status = answer.status
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            log.debug("an order to {} was not answered: {}", endpoint.name, error)
+            log.debug(
+                "no response to an order to {}; it will be sent again: {}",
+                endpoint.name,
+                error,
+            )
             return
         self.context.timeline.emit(
             EventKind.ORDERED,
