--- a/walnutquay/coordination/own/claims.py
+++ b/walnutquay/coordination/own/claims.py
@@ -99,7 +99,7 @@
         self.keep_seconds = hours * SECONDS_PER_HOUR
         self.table = RunTable(answer_bytes)
         # The request that holds each key on this VM, by the claim object's name.
-        self.by_name: dict[str, RequestId] = {}
+        self.requests_by_name: dict[str, RequestId] = {}
         self.fingerprints: dict[RequestId, str] = {}
         dispatcher.on(AskRun, self.on_ask_run)
 
@@ -126,7 +126,7 @@
         if held is not None:
             return held
         self.table.begin(request, name)
-        self.by_name[name] = request
+        self.requests_by_name[name] = request
         self.fingerprints[request] = fingerprint
         try:
             async with asyncio.timeout(CLAIM_SECONDS):
@@ -146,7 +146,7 @@
 
     def _held_here(self, name: str, fingerprint: str) -> ClaimResult | None:
         """Decide on a repeat of a key that this VM holds itself."""
-        request = self.by_name.get(name)
+        request = self.requests_by_name.get(name)
         if request is None:
             return None
         run = self.table.runs[request]
@@ -264,7 +264,7 @@
         self.table.end(request, RunState.ABANDONED, monotonic())
 
     async def release(self, request: RequestId) -> None:
-        """Mark a claim in the platform as abandoned, so that no VM has to query it.
+        """Mark a claim in the platform as abandoned, so that its holder is not queried.
 
         :param request: its id.
         """
@@ -305,7 +305,9 @@
     async def sweep(self) -> None:
         """Remove old claims from memory and, on one VM only, from the platform."""
         self.table.forget_before(monotonic() - self.keep_seconds)
-        self.by_name = {n: r for n, r in self.by_name.items() if r in self.table.runs}
+        self.requests_by_name = {
+            n: r for n, r in self.requests_by_name.items() if r in self.table.runs
+        }
         self.fingerprints = {
             r: f for r, f in self.fingerprints.items() if r in self.table.runs
         }
@@ -338,7 +340,10 @@
     state: RunState | None,
     answer: WholeAnswer | None,
 ) -> ClaimResult:
-    """Decide how a repeat is handled; a lost answer makes the outcome unknown."""
+    """Decide how to handle a repeat.
+
+    If the answer is no longer kept, the outcome is reported as unknown.
+    """
     action = on_repeat(claim, fingerprint, state)
     if action is RepeatAction.GIVE_ANSWER and answer is None:
         action = RepeatAction.SAY_UNKNOWN
--- a/walnutquay/coordination/own/configurations.py
+++ b/walnutquay/coordination/own/configurations.py
@@ -242,9 +242,7 @@
             if head.revision == self.head.revision:
                 same = head.parts == self.head.parts
                 if not same:
-                    self._reject(
-                        head, "its content differs from the same revision in force here"
-                    )
+                    self._reject(head, "its content differs from the one in force here")
                 return same
             try:
                 parts = await self._collect(head, peer)
--- a/walnutquay/coordination/own/members.py
+++ b/walnutquay/coordination/own/members.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Membership, from heartbeats of entry VMs and the platform's delayed VM list."""
+"""Membership, from heartbeats of entry VMs and the platform's VM list, which lags."""
 
 from __future__ import annotations
 
@@ -37,7 +37,8 @@
 
     :param name: the endpoint's name.
     :param leaving: whether its VM is being removed.
-    :param incarnation: identifies the endpoint's start; empty if not listed.
+    :param incarnation: identifies the endpoint's start; empty if the list does not
+        state it.
     """
 
     name: str
--- a/walnutquay/coordination/own/parts.py
+++ b/walnutquay/coordination/own/parts.py
@@ -76,10 +76,10 @@
         # Set by the daemon once the administration API listens.
         self.administration_port = 0
         keys = [key.get_secret_value() for key in options.fleet.keys]
-        self._make_fleet(keys)
-        self._make_path(keys)
+        self._make_fleet_components(keys)
+        self._make_request_components(keys)
 
-    def _make_fleet(self, keys: list[str]) -> None:
+    def _make_fleet_components(self, keys: list[str]) -> None:
         """Create the components for the platform and the other VMs."""
         options = self.settings.options
         context = self.context
@@ -105,7 +105,7 @@
         )
         self.acceptance = Acceptance(context, self.platform, self.configurations)
 
-    def _make_path(self, keys: list[str]) -> None:
+    def _make_request_components(self, keys: list[str]) -> None:
         """Create the components that handle requests."""
         options = self.settings.options
         context = self.context
