--- a/walnutquay/coordination/own/claims.py
+++ b/walnutquay/coordination/own/claims.py
@@ -30,8 +30,8 @@
     RunState,
     RunTable,
     WholeAnswer,
+    action_for_repeat,
     claim_name,
-    on_repeat,
 )
 from walnutquay.state.process.events import EventKind
 from walnutquay.state.process.ids import OrganisationName, RequestId
@@ -344,7 +344,7 @@
 
     If the answer is no longer kept, the outcome is reported as unknown.
     """
-    action = on_repeat(claim, fingerprint, state)
+    action = action_for_repeat(claim, fingerprint, state)
     if action is RepeatAction.GIVE_ANSWER and answer is None:
         action = RepeatAction.SAY_UNKNOWN
     return ClaimResult(False, action, answer)
--- a/walnutquay/coordination/own/leases.py
+++ b/walnutquay/coordination/own/leases.py
@@ -66,15 +66,15 @@
     async def keep(self) -> None:
         """Renew the lease, or acquire it if it is free and this VM ranks first."""
         asked_at = monotonic()
-        if not self.view.held(asked_at) and not self._is_candidate():
+        if not self.view.is_held(asked_at) and not self._is_candidate():
             # If all VMs read the lease, these reads alone would use up the platform's
             # rates.
             return
         try:
-            if not self.view.held(asked_at):
+            if not self.view.is_held(asked_at):
                 await self._read()
                 asked_at = monotonic()
-            if self.view.held(asked_at) or self._is_due(asked_at):
+            if self.view.is_held(asked_at) or self._is_due(asked_at):
                 await self._write(asked_at)
         except PlatformError as error:
             # The lease may have been renewed nevertheless.  The confirmed time
@@ -89,7 +89,7 @@
     async def _read(self) -> None:
         stored = await self.platform.read(self.name)
         value = LeaseValue.decode(stored.value) if stored.version else None
-        self.view.saw(stored.version, value, monotonic())
+        self.view.observe(stored.version, value, monotonic())
 
     def _is_candidate(self) -> bool:
         ranked = self.members.table.ranked(self.name, monotonic())
@@ -97,17 +97,17 @@
 
     def _is_due(self, now: float) -> bool:
         ranked = self.members.table.ranked(self.name, now)
-        return ranked[0] == self.context.vm and self.view.may_take(now)
+        return ranked[0] == self.context.vm and self.view.may_acquire(now)
 
     async def _write(self, asked_at: float) -> None:
-        held = self.view.held(asked_at)
+        held = self.view.is_held(asked_at)
         if self.view.version < 0:
             await self._read()
         self.value = replace(self.value, writes=self.value.writes + 1)
         version = await self.platform.write(
             self.name, self.value.encode(), self.view.version
         )
-        self.view.took(version, self.value, asked_at)
+        self.view.record_acquired(version, self.value, asked_at)
         if not held:
             self.context.timeline.emit(
                 EventKind.LEASE, detail=f"{self.duty} taken, fence {version}"
@@ -118,10 +118,10 @@
 
         This is used for a planned stop.
         """
-        if not self.view.held(monotonic()):
+        if not self.view.is_held(monotonic()):
             return
         version = self.view.version
-        self.view.lost()
+        self.view.mark_lost()
         nobody = LeaseValue(NOBODY, Incarnation(""), self.value.seconds)
         try:
             await self.platform.write(self.name, nobody.encode(), version)
