--- a/walnutquay/coordination/own/billing.py
+++ b/walnutquay/coordination/own/billing.py
@@ -148,7 +148,6 @@
         :param request: the request.
         :param organisation: the organisation that is billed.
         :param lines: the cost of each step.
-        :returns: the record.
         """
         record = BillRecord(
             self.next_number, request, organisation, time.time(), tuple(lines)
@@ -293,9 +292,7 @@
             try:
                 missing = await self.keepers.send(peer, kept, records, COPY_SECONDS)
             except PeerError as error:
-                log.debug(
-                    "bills kept for another VM cannot be copied to a peer: {}", error
-                )
+                log.debug("bills kept for a VM cannot be copied: {}", error)
                 continue
             # The peer lacks what this VM lacks, but keeps the rest.
             if missing is None or kept.has_gap():
