--- a/walnutquay/coordination/own/pins.py
+++ b/walnutquay/coordination/own/pins.py
@@ -1,10 +1,10 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""Pins of sessions whose callers send a session id and return no token.
+"""Pins of sessions whose callers send a session id and no token.
 
-The VM that rendezvous names for the session keeps its pin, and the next one in
-rank a copy.  When both are lost at once, the session is bound anew; a caller
-who returns the token never depends on this.
+The VM that ranks first in rendezvous hashing of the session stores its pin, and the VM
+that ranks second stores a copy.  If both are lost at once, the session is bound again.
+Sessions of callers that send the token never depend on this.
 """
 
 from __future__ import annotations
@@ -25,22 +25,23 @@
 
 log = logbook.Logger(__name__)
 
-ASK_SECONDS = 0.5
-KEEPERS = 2
-# VMs that are asked for a pin: its keepers, and who was one before a VM joined.
-LOOKED_AT = 4
+QUERY_SECONDS = 0.5
+PIN_REPLICAS = 2
+# The number of VMs queried for a pin: its holders, and those that were holders before
+# other VMs joined.
+MAX_QUERIED = 4
 
 SessionKey = tuple[str, str]
 
 
 class SessionPins:
-    """Finds and keeps the pins of bare sessions.
+    """Stores the pins of sessions without tokens, and queries other VMs for them.
 
-    :param context: what this process shares.
+    :param context: the state shared by this process.
     :param members: the other VMs.
-    :param dispatcher: where peers' questions come from.
+    :param dispatcher: the dispatcher of messages from peers.
     :param sealer: signs pins, also between VMs.
-    :param size: pins to keep; the least used go first.
+    :param size: the number of pins to store; the least recently used are evicted first.
     """
 
     def __init__(
@@ -56,107 +57,114 @@
         self.sealer = sealer
         self.size = size
         self.tokens: OrderedDict[SessionKey, str] = OrderedDict()
-        dispatcher.on(AskPin, self.on_ask)
+        dispatcher.on(AskPin, self.on_query)
         dispatcher.on(CopyPin, self.on_copy)
 
     async def find(self, organisation: str, session: str) -> Pin | None:
         """Find a session's pin.
 
-        :param organisation: whose session.
-        :param session: its id.
-        :returns: the pin, or None where nobody keeps one.
+        :param organisation: the organisation of the session.
+        :param session: the session's id.
+        :returns: the pin, or None if no VM queried has one.
         """
-        question = AskPin(organisation, session, "")
-        # A VM that has just joined may be the first in rank and know nothing;
-        # those that were keepers before it come next.
-        for keeper in self._ranked(organisation, session)[:LOOKED_AT]:
-            pin = await self._ask(keeper, question)
+        query = AskPin(organisation, session, "")
+        # A VM that has just joined may rank first and have no pins.  The VMs that were
+        # holders before it joined rank next.
+        for holder in self._ranked(organisation, session)[:MAX_QUERIED]:
+            pin = await self._query(holder, query)
             if pin is not None:
                 return pin
         return None
 
     async def propose(self, pin: Pin) -> Pin:
-        """Bind a session, unless it is bound already.
+        """Bind a session, unless it is already bound.
 
-        :param pin: what it would be bound to.
-        :returns: what it is bound to.
+        :param pin: the proposed pin.
+        :returns: the pin in force: an existing one, or else the one proposed.
         """
         token = self.sealer.seal(pin)
-        question = AskPin(pin.organisation, pin.session, token)
-        for keeper in self._keepers(pin.organisation, pin.session):
-            standing = await self._ask(keeper, question)
-            if standing is not None:
-                return standing
+        query = AskPin(pin.organisation, pin.session, token)
+        for holder in self._holders(pin.organisation, pin.session):
+            existing = await self._query(holder, query)
+            if existing is not None:
+                return existing
         return pin
 
     def update(self, pin: Pin) -> None:
-        """Tell the keepers of a pin after a turn.
+        """Send the updated pin to its holders after a turn.
 
-        :param pin: the pin as it is now.
+        :param pin: the updated pin.
         """
         message = CopyPin(pin.organisation, pin.session, self.sealer.seal(pin))
-        for keeper in self._keepers(pin.organisation, pin.session):
-            if keeper == self.context.vm:
-                self._keep(message.organisation, message.session, message.token)
+        for holder in self._holders(pin.organisation, pin.session):
+            if holder == self.context.vm:
+                self._store(message.organisation, message.session, message.token)
             else:
-                self.members.send(keeper, message)
+                self.members.send(holder, message)
 
-    def _keepers(self, organisation: str, session: str) -> list[str]:
-        return self._ranked(organisation, session)[:KEEPERS]
+    def _holders(self, organisation: str, session: str) -> list[str]:
+        return self._ranked(organisation, session)[:PIN_REPLICAS]
 
     def _ranked(self, organisation: str, session: str) -> list[str]:
         alive = self.members.table.alive(monotonic())
         names = [self.context.vm, *(member.latest.vm for member in alive)]
         return rendezvous(f"pin/{organisation}/{session}", names)
 
-    async def _ask(self, keeper: str, question: AskPin) -> Pin | None:
-        if keeper == self.context.vm:
-            return self._open(question, self._answer(question))
+    async def _query(self, holder: str, query: AskPin) -> Pin | None:
+        if holder == self.context.vm:
+            return self._open(query, self._get_or_store(query))
         try:
-            answer = await self.members.call(keeper, question, ASK_SECONDS)
+            answer = await self.members.call(holder, query, QUERY_SECONDS)
         except PeerError as error:
-            log.debug("a keeper of pins does not answer: {}", error)
+            log.debug(
+                "query for a session pin failed; trying the next holder, if any: {}",
+                error,
+            )
             return None
         assert isinstance(answer, PinIs)
-        return self._open(question, answer.token)
+        return self._open(query, answer.token)
 
-    def _open(self, question: AskPin, token: str) -> Pin | None:
+    def _open(self, query: AskPin, token: str) -> Pin | None:
         if not token:
             return None
         try:
-            return self.sealer.open(token, question.organisation)
+            return self.sealer.open(token, query.organisation)
         except TokenError:
             return None
 
-    def on_ask(self, envelope: Envelope) -> PinIs:
-        """:param envelope: a peer's question.
+    def on_query(self, envelope: Envelope) -> PinIs:
+        """Answer a peer's query for a pin, storing its pin if there is none here.
 
-        :returns: the token that is kept here.
+        :param envelope: the peer's query.
+        :returns: the token stored on this VM; empty if there is none.
         """
         assert isinstance(envelope.body, AskPin)
-        return PinIs(self._answer(envelope.body))
+        return PinIs(self._get_or_store(envelope.body))
 
-    def _answer(self, question: AskPin) -> str:
-        key = (question.organisation, question.session)
-        standing = self.tokens.get(key, "")
-        if standing:
+    def _get_or_store(self, query: AskPin) -> str:
+        key = (query.organisation, query.session)
+        existing = self.tokens.get(key, "")
+        if existing:
             self.tokens.move_to_end(key)
-            return standing
-        if question.token:
-            self._keep(*key, question.token)
-            copy = CopyPin(question.organisation, question.session, question.token)
-            for keeper in self._keepers(*key):
-                if keeper != self.context.vm:
-                    self.members.send(keeper, copy)
-        return question.token
+            return existing
+        if query.token:
+            self._store(*key, query.token)
+            copy = CopyPin(query.organisation, query.session, query.token)
+            for holder in self._holders(*key):
+                if holder != self.context.vm:
+                    self.members.send(holder, copy)
+        return query.token
 
     def on_copy(self, envelope: Envelope) -> None:
-        """:param envelope: a pin to keep."""
+        """Store the copy of a pin that a peer has sent.
+
+        :param envelope: the peer's message.
+        """
         body = envelope.body
         assert isinstance(body, CopyPin)
-        self._keep(body.organisation, body.session, body.token)
+        self._store(body.organisation, body.session, body.token)
 
-    def _keep(self, organisation: str, session: str, token: str) -> None:
+    def _store(self, organisation: str, session: str, token: str) -> None:
         key = (organisation, session)
         self.tokens[key] = token
         self.tokens.move_to_end(key)
--- a/walnutquay/coordination/own/planning.py
+++ b/walnutquay/coordination/own/planning.py
@@ -1,6 +1,6 @@
 # Licensed under the Apache License 2.0: see LICENSE for details.
 
-"""What a chat request is to run on: its session's binding, its plan, its beginning."""
+"""Planning of chat requests: the binding of the session and the versions to try."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 class ChatPlanner:
     """Plans chat requests.
 
-    :param parts: what the request's path works with.
-    :param quality: knows which steps of a cascade are worth their cost.
+    :param parts: the components of the request path.
+    :param quality: skips the steps of a cascade that are not worth their cost.
     :param sealer: signs session tokens.
-    :param pins: pins of sessions without tokens.
+    :param pins: the pins of sessions without tokens.
     """
 
     def __init__(
@@ -42,8 +42,8 @@
         self.sealer = sealer
         self.pins = pins
 
-    def doubts(self) -> LocalRestrictions:
-        """:returns: what this VM holds against versions by itself."""
+    def local_restrictions(self) -> LocalRestrictions:
+        """Return the restrictions that this VM places on versions by itself."""
         age = self.parts.configurations.confirmed_age()
         return LocalRestrictions(age, self.parts.health.table.rejected)
 
@@ -51,32 +51,33 @@
         """Plan a request.
 
         :param arrival: the request.
-        :returns: it with its plan and its session's binding, or why it cannot run.
+        :returns: the request with its plan and its session's binding, or why it cannot
+            run.
         """
         try:
-            pin, bare = await self._pin(arrival)
+            pin, tokenless = await self._pin(arrival)
         except TokenError as error:
             return Error(Refusal(RefusalCode.BAD_TOKEN, error.reason))
         planned = self._plan_for(arrival, pin)
         if planned.is_error():
             return Error(planned.error)
-        if bare and not pin.versions:
-            # The session's first turn: agree on its binding before it runs.
+        if tokenless and not pin.versions:
+            # On the first turn of a session, VMs agree on its binding before it runs.
             first = planned.ok.steps[0]
             revision = self.parts.configurations.current.revision
-            wanted = pin.after_turn(first.model, first.name, "", revision)
-            standing = await self.pins.propose(wanted)
-            if standing != wanted:
-                pin = standing
+            proposed = pin.after_turn(first.model, first.name, "", revision)
+            existing = await self.pins.propose(proposed)
+            if existing != proposed:
+                pin = existing
                 planned = self._plan_for(arrival, pin)
                 if planned.is_error():
                     return Error(planned.error)
         if planned.ok.session_restarted:
             pin = Pin(pin.session, pin.organisation)
-        return Ok(ChatTurn(arrival, pin, bare, planned.ok))
+        return Ok(ChatTurn(arrival, pin, tokenless, planned.ok))
 
     async def _pin(self, arrival: ChatArrival) -> tuple[Pin, bool]:
-        """Find what the session is bound to, and whether it is a bare one."""
+        """Return the pin of the session, and whether the session has no token."""
         organisation = arrival.organisation.name
         if arrival.token:
             pin = self.sealer.open(arrival.token, organisation)
@@ -85,19 +86,19 @@
             return pin, False
         if arrival.session:
             session = SessionId(arrival.session)
-            kept = await self.pins.find(organisation, session)
-            return kept or Pin(session, organisation), True
+            stored = await self.pins.find(organisation, session)
+            return stored or Pin(session, organisation), True
         return Pin(self.context.new_session(), organisation), False
 
     def _plan_for(self, arrival: ChatArrival, pin: Pin) -> Result[Plan, Refusal]:
         current = self.parts.configurations.current
-        # The organisation as it is now, not as it was when the key was checked.
+        # The configuration may have changed since the API key was checked.
         organisation = current.organisations.get(arrival.organisation.name)
         if organisation is None:
             return Error(
                 Refusal(RefusalCode.NOT_ALLOWED, "the organisation is no more")
             )
-        question = RoutingRequest(
+        routing_request = RoutingRequest(
             organisation,
             arrival.call.model,
             arrival.request_class,
@@ -107,15 +108,19 @@
             pin if pin.versions else None,
         )
         planned = plan(
-            current, self.parts.configurations.programs, question, self.doubts()
+            current,
+            self.parts.configurations.programs,
+            routing_request,
+            self.local_restrictions(),
         )
-        return planned.map(lambda found: self._begin(found, arrival, pin))
+        return planned.map(lambda found: self._skip_steps(found, arrival, pin))
 
-    def _begin(self, found: Plan, arrival: ChatArrival, pin: Pin) -> Plan:
-        """Choose the step to begin with.
+    def _skip_steps(self, found: Plan, arrival: ChatArrival, pin: Pin) -> Plan:
+        """Skip the first steps of a plan where that is justified.
 
-        A session begins with the first step that has served it, so that what is
-        learnt meanwhile does not move it to another version.
+        A session starts with the first step that has served it before, so that
+        ratings learnt in the meantime do not move it to another version.  Otherwise
+        steps that are not worth their cost are skipped.
         """
         served = [
             index
