--- a/walnutquay/coordination/own/health.py
+++ b/walnutquay/coordination/own/health.py
@@ -9,7 +9,7 @@
 
 from walnutquay.coordination.own.configurations import Configurations
 from walnutquay.coordination.own.members import Members
-from walnutquay.coordination.own.outcome_counts import OutcomeCounts
+from walnutquay.coordination.own.outcomecounts import OutcomeCounts
 from walnutquay.coordination.process.context import Context
 from walnutquay.coordination.process.dispatcher import Dispatcher
 from walnutquay.protocol.messages import Envelope
--- a/walnutquay/coordination/own/quality.py
+++ b/walnutquay/coordination/own/quality.py
@@ -5,7 +5,7 @@
 from __future__ import annotations
 
 from walnutquay.coordination.own.health import SEPARATOR, VersionHealth
-from walnutquay.coordination.own.outcome_counts import OutcomeCounts
+from walnutquay.coordination.own.outcomecounts import OutcomeCounts
 from walnutquay.coordination.own.rater import Rater
 from walnutquay.coordination.own.turns import ChatTurn
 from walnutquay.coordination.process.context import Context
