--- a/walnutquay/coordination/own/keyed.py
+++ b/walnutquay/coordination/own/keyed.py
@@ -81,7 +81,7 @@
         :param grant: the slot at the endpoint.
         """
         if turn.arrival.key:
-            self.parts.claims.running(turn.arrival.request)
+            self.parts.claims.mark_running(turn.arrival.request)
 
     def on_not_started(self, turn: Turn, grant: Grant, error: NotStartedError) -> None:
         """Mark the claim of a request as pending if the endpoint did not start it.
@@ -91,7 +91,7 @@
         :param error: the evidence that the request was not started.
         """
         if turn.arrival.key:
-            self.parts.claims.pending(turn.arrival.request)
+            self.parts.claims.mark_pending(turn.arrival.request)
 
     async def _serve_keyed(self, arrival: Arrival) -> Outcome:
         stage = receive_keyed(arrival.request)
